--- a/adapter/simulator_host.cpp
+++ b/adapter/simulator_host.cpp
@@ -6,7 +6,7 @@
 namespace dispatch_policy::simulator {
 namespace {
 
-// Classes or tenants in one START, at most; more can only be a mistake.
+// Maximum number of classes or tenants in one START line; a higher number can only be a mistake.
 constexpr std::uint64_t kMaxCount = 4096;
 
 std::string FieldPath(const char* list, std::size_t i, const char* leaf) {
@@ -305,7 +305,7 @@
     instance.events.emplace_back(TimerFired{line.Whole("key-back")});
   } else if (name == "HEALTH_RESULT") {
     instance.events.emplace_back(ParseHealthCheck(instance, line));
-  } else if (name != "FIRST_BYTE" && name != "DATAGRAM") {  // streams and peer notes are not used
+  } else if (name != "FIRST_BYTE" && name != "DATAGRAM") {  // the policy uses neither
     throw WireError("unknown message: '" + std::string(name) + "'");
   }
 }
--- a/adapter/simulator_host.hpp
+++ b/adapter/simulator_host.hpp
@@ -1,5 +1,6 @@
-// Runs many policies behind the simulator's wire, each for one simulated dispatcher. It maps the
-// words of the wire to events and settings, and actions to words of the wire; it decides nothing.
+// Connects the policy to the simulator's wire protocol. Runs one policy for each simulated
+// dispatcher, translates lines from the simulator to events and settings, and translates actions to
+// lines. Makes no decisions of its own.
 #ifndef BRASSFRONT_ADAPTER_SIMULATOR_HOST_HPP_
 #define BRASSFRONT_ADAPTER_SIMULATOR_HOST_HPP_
 
@@ -17,33 +18,33 @@
 
 namespace dispatch_policy::simulator {
 
-// The settings in a START line. Throws WireError on a word or number that is not allowed.
+// Returns the settings in a START line. Throws WireError if a value is invalid.
 Settings ParseSettings(const Line& line);
 
-// The simulator's side of a conversation: batches of lines in, one reply for each batch out. For
-// one thread.
+// Processes the simulator's input: reads batches of lines and writes one reply for each batch. Not
+// thread-safe.
 class SimulatorHost {
  public:
-  // Consumes one line of input, without its line break. Returns true when it ended a batch: the
-  // reply is then complete in reply(), until the next batch ends. Throws WireError on a line that
-  // can't be taken; the host can't be used further then.
+  // Consumes one line of input, without its line break. Returns true if the line ended a batch:
+  // reply() then returns the complete reply until the next batch ends. Throws WireError on an
+  // invalid line; the host must not be used after that.
   bool Consume(std::string_view text);
 
-  // The reply to the last batch.
+  // Returns the reply to the last batch.
   [[nodiscard]] const std::string& reply() const { return reply_; }
 
-  // Whether a batch has begun and not ended; the input must not end then.
+  // Returns whether a batch has begun and not ended. The input must not end inside a batch.
   [[nodiscard]] bool in_batch() const { return in_batch_; }
 
  private:
-  // Ids for the names of one instance, in order of appearance, so that they do not depend on what
-  // else the process hosts.
+  // Maps the names of one instance to ids. Ids are given in order of appearance, so that they do
+  // not depend on other instances in the process.
   class NameTable {
    public:
-    // The id of the name; a new one gets the next id.
+    // Returns the id of the name; a new name gets the next id.
     std::uint64_t FindOrAddId(std::string_view name);
 
-    // The name of an id that FindOrAddId gave out.
+    // Returns the name of an id that FindOrAddId returned.
     const std::string& Name(std::uint64_t id) const { return names_.at(id); }
 
    private:
@@ -56,10 +57,11 @@
     std::unique_ptr<DispatchPolicy> policy;
     NameTable messages;
     NameTable endpoints;
-    std::vector<Event> events;  // of the present batch
+    std::vector<Event> events;  // of the current batch
   };
 
-  // One endpoint of a registered list; its id depends on the instance that it is sent to.
+  // One endpoint of a registered list. Its id is assigned separately for each instance that the
+  // list is sent to.
   struct EndpointRow {
     std::string endpoint;
     EndpointEntry entry;
@@ -80,14 +82,14 @@
   Time now_{};
   bool in_batch_ = false;
   std::array<std::vector<EndpointRow>, 16> endpoint_pages_;  // registered endpoint lists
-  std::size_t page_ = 0;                                     // the page that rows are for
-  std::size_t rows_expected_ = 0;                            // rows of that page still to come
+  std::size_t page_ = 0;                                     // the page of the next rows
+  std::size_t rows_expected_ = 0;                            // remaining rows of that page
   std::map<std::uint64_t, Instance> instances_;
   std::string reply_;
 };
 
-// Answers batches from `in` on `out` until the input ends. Returns the exit status: 0, or 1 after a
-// line that can't be taken, which is named on `errors`.
+// Reads batches from `in` and writes the replies to `out` until the input ends. Returns the exit
+// status: 0, or 1 after an invalid line, which is reported on `errors`.
 int Run(std::istream& in, std::ostream& out, std::ostream& errors);
 
 }  // namespace dispatch_policy::simulator
--- a/adapter/simulator_wire.hpp
+++ b/adapter/simulator_wire.hpp
@@ -1,4 +1,5 @@
-// The simulator's wire: lines of tab-separated name=value parts. Syntax only.
+// Syntax of the simulator's wire protocol: each line has a name and tab-separated name=value
+// fields.
 #ifndef BRASSFRONT_ADAPTER_SIMULATOR_WIRE_HPP_
 #define BRASSFRONT_ADAPTER_SIMULATOR_WIRE_HPP_
 
@@ -11,38 +12,39 @@
 
 namespace dispatch_policy::simulator {
 
-// A line that can't be taken; what() names the fault.
+// Thrown on an invalid line; what() describes the error.
 class WireError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// One name=value part of a line.
+// One name=value field of a line.
 struct Field {
   std::string_view name;
   std::string_view value;
 };
 
-// One line, split. It refers to the text that it was parsed from.
+// One parsed line. It refers to the text that it was parsed from, which must outlive it.
 class Line {
  public:
-  // Throws WireError if a part after the name is not name=value.
+  // Throws WireError if a field after the name of the line is not name=value.
   explicit Line(std::string_view text);
 
   [[nodiscard]] std::string_view name() const { return name_; }
   [[nodiscard]] const std::vector<Field>& fields() const { return fields_; }
-  // Whether there is a field of that name.
+  // Returns whether the line has a field with that name.
   [[nodiscard]] bool Has(std::string_view field) const;
 
-  // The value of the first field of that name. All throw WireError if it is missing or its text is
-  // not of their form; those with `absent` return that for a missing field.
+  // The following functions return the value of the first field with that name. They throw
+  // WireError if the field is missing or its text does not have the right form; the functions with
+  // the parameter `absent` return it if the field is missing.
   [[nodiscard]] std::string_view Text(std::string_view field) const;
   [[nodiscard]] std::string_view TextOr(std::string_view field, std::string_view absent) const;
   [[nodiscard]] std::uint64_t Whole(std::string_view field) const;
   [[nodiscard]] std::uint64_t WholeOr(std::string_view field, std::uint64_t absent) const;
   [[nodiscard]] double NumberOr(std::string_view field, double absent) const;
   [[nodiscard]] bool FlagOr(std::string_view field, bool absent) const;
-  // Whole nanoseconds on the wire.
+  // Times are whole nanoseconds on the wire.
   [[nodiscard]] std::chrono::nanoseconds Time(std::string_view field) const;
   [[nodiscard]] std::chrono::nanoseconds TimeOr(std::string_view field,
                                                 std::chrono::nanoseconds absent) const;
@@ -52,12 +54,13 @@
   std::vector<Field> fields_;
 };
 
-// Each reads the whole text and throws WireError if it is not of the form, or out of range.
+// Each parses the entire text, and throws WireError if the text does not have the right form or the
+// value is out of range.
 std::uint64_t ParseWhole(std::string_view text);
 double ParseNumber(std::string_view text);
 bool ParseFlag(std::string_view text);
 
-// The parts between separators; one empty part for an empty text.
+// Returns the parts between separators; a single empty part if the text is empty.
 std::vector<std::string_view> Split(std::string_view text, char separator);
 
 }  // namespace dispatch_policy::simulator
--- a/include/dispatch_policy/events.hpp
+++ b/include/dispatch_policy/events.hpp
@@ -1,5 +1,5 @@
-// What the caller reports to the dispatch policy. Events about unknown messages, attempts or
-// endpoints are ignored. All are values; the policy keeps no reference to them.
+// Events that the caller reports to the dispatch policy. Events about unknown messages, attempts or
+// endpoints are ignored. All are plain values; the policy keeps no reference to them.
 #ifndef DISPATCH_POLICY_EVENTS_HPP_
 #define DISPATCH_POLICY_EVENTS_HPP_
 
@@ -15,24 +15,26 @@
 
 namespace dispatch_policy {
 
-// How an attempt or a health check ended. Comments say whether the message may have taken effect.
+// How an attempt or a health check ended. The comments state whether the message may have taken
+// effect.
 enum class Outcome {
   kDelivered,
-  kError,                  // answered with an error; may have run
+  kError,                  // answered with an error; the message may have run
   kRejected,               // rejected by the endpoint; never ran
-  kTimeout,                // may have run, or still run
+  kTimeout,                // may have run, or may still be running
   kConnectFailed,          // never ran
-  kReset,                  // may have run, or still run
-  kCancelled,              // may have run, or still run
+  kReset,                  // may have run, or may still be running
+  kCancelled,              // may have run, or may still be running
   kNotSent,                // never left the dispatcher
-  kConnectionLimitReached  // the endpoint works, but takes no further connection; never ran
+  kConnectionLimitReached  // the endpoint works, but accepts no further connection; never ran
 };
 
-// The load that an endpoint reports with an answer.
+// The load report that an endpoint sends with an answer.
 struct LoadReport {
-  // Share of the limit that is left, 0 to 1; none: not reported.
+  // Remaining share of the rate limit, 0 to 1; nullopt: not reported.
   std::optional<double> allowance_left;
-  // Rate limit in calls a second, of all dispatchers together; 0: unlimited; none: not reported.
+  // Rate limit for all dispatchers together, in calls per second; 0: unlimited; nullopt: not
+  // reported.
   std::optional<double> limit;
 };
 
@@ -43,60 +45,62 @@
   std::size_t message_class = 0;  // index in Settings::classes
   std::size_t tenant = 0;         // index in Settings::tenants
   Duration time_left{};           // until its deadline
-  // Ordering key: messages with one key of an ordered class go one at a time; empty: none.
+  // Ordering key: messages of an ordered class that have the same key are sent one at a time;
+  // empty: not ordered.
   std::string key;
 };
 
-// A message that an earlier process of this dispatcher had accepted. The admission gate does not
-// reject it.
+// A message that an earlier process of this dispatcher accepted. The admission gate does not reject
+// the message.
 struct MessageRestored {
   MessageId message = 0;
   DestinationId destination = 0;
   std::size_t message_class = 0;
-  // Until its deadline; below 0: the deadline has passed.
+  // Time until its deadline; below 0: the deadline has passed.
   Duration time_left{};
-  // As in MessageArrived.
+  // Ordering key, as in MessageArrived.
   std::string key;
   std::size_t attempts_used = 0;  // by earlier processes
-  // When the first attempt that may have run was sent, and to which endpoint; none: none has run.
+  // Send time and endpoint of the first attempt that may have run; nullopt: no attempt has run.
   std::optional<Time> may_have_run;
   EndpointId ran_on_endpoint = 0;
 };
 
-// What an earlier process of this dispatcher, or this one before it forgot a removed endpoint, had
-// observed of an endpoint. To be passed behind the first endpoint list that names it.
+// The condition of an endpoint as observed by an earlier process of this dispatcher, or by this
+// process before it dropped the removed endpoint. To be passed after the first endpoint list that
+// names the endpoint.
 struct EndpointConditionRestored {
   EndpointId endpoint = 0;
   EndpointCondition condition;
   RateLimitCondition own_limit;
 };
 
-// What an earlier process of this dispatcher had observed of a destination.
+// The condition of a destination as observed by an earlier process of this dispatcher.
 struct DestinationConditionRestored {
   DestinationId destination = 0;
   DestinationCondition condition;
   RateLimitCondition shared_limit;
 };
 
-// An earlier process of this dispatcher has left messages for a destination, and what it had
-// observed there is not known: its endpoints are tried by single calls first. To be passed behind
-// the endpoint list.
+// An earlier process of this dispatcher has left messages for a destination, but the condition of
+// the destination is not known: its endpoints are first tested with single calls. To be passed
+// after the endpoint list.
 struct DestinationConditionLost {
   DestinationId destination = 0;
 };
 
-// The end of an attempt that SendAttempt asked for.
+// An attempt that was requested by SendAttempt has ended.
 struct AttemptCompleted {
   MessageId message = 0;
   std::size_t attempt = 0;
   EndpointId endpoint = 0;
   Outcome outcome = Outcome::kError;
   Duration elapsed{};  // from start to end; 0: unknown
-  // The message is over, by this outcome or before it.
+  // The message has ended, with this attempt or earlier.
   bool finished = false;
-  // The caller takes no further attempt of the message.
+  // The caller accepts no further attempt of the message.
   bool exhausted = false;
-  // Retry-After of the answer; 0: none.
+  // Retry-After of the answer; 0: the answer has none.
   Duration retry_after{};
   LoadReport report;
 };
@@ -111,7 +115,7 @@
   std::uint64_t token = 0;
 };
 
-// The end of a health check that StartHealthCheck asked for.
+// A health check that was requested by StartHealthCheck has ended.
 struct HealthCheckCompleted {
   EndpointId endpoint = 0;
   Outcome outcome = Outcome::kError;
@@ -119,7 +123,7 @@
   LoadReport report;
 };
 
-// What the endpoint list says of an endpoint: it takes work, it takes no new work, or it is gone.
+// State of an endpoint in the endpoint list: takes work, takes no new work, or removed.
 enum class EndpointState { kListed, kDraining, kRemoved };
 
 // One endpoint of an endpoint list.
@@ -133,14 +137,14 @@
   double weight = 1;
 };
 
-// What an endpoint list means for endpoints that it does not name.
+// How an endpoint list treats endpoints that it does not name.
 enum class ListForm {
-  kChanges,   // what is not named stays as it is
-  kComplete,  // what is not named is removed
-  kFailed     // the source has failed; nothing is known
+  kChanges,   // endpoints that are not named stay as they are
+  kComplete,  // endpoints that are not named are removed
+  kFailed     // the source of the list has failed; the list has no information
 };
 
-// The endpoint list, or changes of it. A list older than the last one is ignored.
+// The endpoint list, or changes to it. A list with a lower version than the last one is ignored.
 struct EndpointList {
   std::uint64_t version = 0;
   ListForm form = ListForm::kChanges;
@@ -149,41 +153,43 @@
 
 // ---- from other dispatchers ----
 //
-// For callers whose dispatchers share what they know. Without these events every decision is made
-// from this dispatcher's own observations.
+// These events are for callers whose dispatchers share their observations. Without them every
+// decision is based on this dispatcher's own observations.
 
-// This dispatcher's lease on a part of a rate limit that all dispatchers share. It is for the scope
-// of the endpoint's limit: its destination, or the endpoint alone where limits are per endpoint. It
-// holds until the next one.
+// This dispatcher's lease on a part of a rate limit that all dispatchers share. The lease applies
+// to the scope of the endpoint's limit: its destination, or the endpoint alone where limits are per
+// endpoint. It is in force until the next lease for that scope.
 struct QuotaLeased {
   EndpointId endpoint = 0;
-  // Calls a second; none: the limit is not shared any longer.
+  // Calls per second; nullopt: the limit is no longer shared.
   std::optional<double> rate;
 };
 
-// What another dispatcher has seen of an endpoint.
+// State of an endpoint as another dispatcher observed it.
 enum class PeerHealth {
   kFailing,     // calls there fail
-  kRetryAfter,  // it has asked to wait
-  kWarmingUp,   // it is back from an outage, or from maintenance
-  kServing,     // it answered a trial call
-  kBeingTested  // another dispatcher tries it at present
+  kRetryAfter,  // the endpoint sent a Retry-After
+  kWarmingUp,   // the endpoint is back from an outage or from maintenance
+  kServing,     // the endpoint answered a trial call
+  kBeingTested  // another dispatcher is making a trial call
 };
 
-// What other dispatchers have seen of an endpoint. One witness makes the policy send one call at a
-// time; two move the circuit breaker as its own calls would.
+// What other dispatchers have observed of an endpoint. A report of one witness makes the policy
+// send one call at a time; a report of two changes the circuit breaker as the policy's own calls
+// would.
 struct PeerHealthReport {
   EndpointId endpoint = 0;
   PeerHealth health = PeerHealth::kFailing;
-  // Time since it was seen.
+  // Time since the observation.
   Duration age{};
-  // What is left of the Retry-After, or of the trial call that is under way.
+  // Remaining time of the Retry-After, or of the trial call that is in progress.
   Duration duration{};
-  // Dispatchers that saw it themselves, without those whose reports were found wrong.
+  // Number of dispatchers that observed this themselves, except those whose reports were found to
+  // be wrong.
   std::size_t witnesses = 1;
 };
 
-// One thing that has happened.
+// Any event.
 using Event =
     std::variant<MessageArrived, MessageRestored, AttemptCompleted, MessageCancelled, TimerFired,
                  HealthCheckCompleted, EndpointList, QuotaLeased, PeerHealthReport,
--- a/src/policy/admission_gate.hpp
+++ b/src/policy/admission_gate.hpp
@@ -1,5 +1,5 @@
-// Admission control: rejects new messages before too many wait for their destination. Implemented
-// in limits.cpp.
+// Admission control: rejects new messages before too many messages wait for their destination.
+// Implemented in limits.cpp.
 #ifndef BRASSFRONT_POLICY_ADMISSION_GATE_HPP_
 #define BRASSFRONT_POLICY_ADMISSION_GATE_HPP_
 
@@ -16,46 +16,48 @@
   double abatement, onset, discard;
 };
 
-// Three modes for each destination, with hysteresis on the number of its unsent messages, after
-// Abaev et al., "Simulation of Overload Control in SIP Server Networks"; docs/design.md says what
-// was kept.
+// Each destination has one of three modes, with hysteresis on the number of its unsent messages.
+// The algorithm follows Abaev et al., "Simulation of Overload Control in SIP Server Networks";
+// docs/design.md describes which parts were adopted.
 class AdmissionGate {
  public:
   AdmissionGate(DecisionContext& context, EndpointRegistry& registry)
       : settings_(context.settings), now_(context.now), context_(context), registry_(registry) {}
 
-  // Whether a new message for the destination is accepted. May draw a random number.
+  // Returns whether a new message for the destination is accepted. May draw a random number.
   bool Admit(Destination& destination);
 
-  // Updates the modes of all active destinations; those with nothing to do are active no longer.
+  // Updates the modes of all active destinations, and removes those with nothing to do from the
+  // active ones.
   void UpdateAll();
 
-  // The Retry-After of a rejection of the message, 0 if none is to be sent: the time that the
-  // destination last took from onset to abatement, within the message's time and the longest wait
-  // that clients honour.
+  // Returns the Retry-After for a rejection of the message, 0 if none is to be sent. It is the time
+  // that the destination last took from onset to abatement, limited to the message's remaining time
+  // and to the longest Retry-After that clients honor.
   [[nodiscard]] Duration RetryAfter(const Destination& destination, const Message& message) const;
 
-  // A message was admitted or restored: it counts as in flight.
+  // Called when a message was admitted or restored: it counts as in flight.
   void OnMessageAccepted() { ++in_flight_; }
 
-  // A message that was accepted is over.
+  // Called when an accepted message has ended.
   void OnMessageFinished() { --in_flight_; }
 
-  // Whether half of the messages that may be in flight are.
+  // Returns whether at least half of max_in_flight is in use.
   [[nodiscard]] bool HalfOfCapacityUsed() const;
 
  private:
-  // Moves the gate from mode to mode by the number of unsent messages.
+  // Updates the mode of the gate from the number of unsent messages.
   void Update(Destination& destination);
 
-  // The thresholds of the destination. Discard is what clears within the shortest deadline at the
-  // rate of sends, or at this instance's share of the limit if that is more: just after a start
-  // nothing was sent yet. A backlog also leaves room below max_in_flight, so that a failing
-  // destination does not take it all from healthy ones.
+  // Returns the thresholds of the destination. The discard threshold is the number of messages that
+  // can be sent within the shortest deadline, at the send rate or at this instance's share of the
+  // limit, whichever is higher: just after a start nothing has been sent yet. The threshold also
+  // leaves room below max_in_flight, so that the backlog of a failing destination does not use up
+  // the capacity for healthy ones.
   AdmissionThresholds ComputeThresholds(const Destination& destination);
 
-  // This instance's even share of what the destination is said to take, in messages a second; 0 if
-  // that is unknown or any of its endpoints is not healthy.
+  // Returns this instance's even share of the destination's listed or reported rate, in messages
+  // per second; 0 if the rate is unknown or any of its endpoints is not healthy.
   double EvenShareOfRate(const Destination& destination);
 
   const Settings& settings_;
--- a/src/policy/circuit_breaker.cpp
+++ b/src/policy/circuit_breaker.cpp
@@ -8,17 +8,20 @@
 
 const double kOverdueDeviations = 4;
 
-constexpr Duration kConnectionGrowth = std::chrono::seconds(2);  // until one more is tried
-constexpr double kMinTrialRate = 1e-3;       // calls a second; no setting stops trial calls
-constexpr int kMaxRejections = 3;            // in a row; more, for long enough, are an outage
-constexpr double kFailureGain = 0.3;         // weight of the newest outcome; two open the breaker
-constexpr double kOutageFailureShare = 0.5;  // of calls; more failures are an outage
-constexpr Duration kMinOutage = std::chrono::seconds(3);  // without an answer; less is loss
-constexpr double kRecoveryBudgetShare = 0.6;  // of a warming destination's capacity; for errors
-constexpr double kLatencyGain = 0.15;         // weight of the newest latency
-constexpr double kLossGain = 0.1;             // weight of the newest answer in the share of loss
-constexpr double kLossyNetworkShare = 0.08;   // of answers that came after lost calls
-constexpr std::size_t kBindingWitnesses = 2;  // of other dispatchers; one alone may be wrong
+// After a connection limit was reached, one more connection is allowed after each such period.
+constexpr Duration kConnectionGrowth = std::chrono::seconds(2);
+constexpr double kMinTrialRate = 1e-3;  // calls per second; no setting can stop trial calls
+constexpr int kMaxRejections = 3;       // consecutive; more over a long time are an outage
+constexpr double kFailureGain = 0.3;    // weight of the latest outcome; 2 failures open the breaker
+constexpr double kOutageFailureShare = 0.5;  // share of calls; more failures are an outage
+// Failures for a shorter time are lost calls, not an outage.
+constexpr Duration kMinOutage = std::chrono::seconds(3);
+// Share of the capacity of a destination that is warming up; the rest is a margin for errors.
+constexpr double kRecoveryBudgetShare = 0.6;
+constexpr double kLatencyGain = 0.15;         // weight of the latest latency
+constexpr double kLossGain = 0.1;             // weight of the latest answer in the loss share
+constexpr double kLossyNetworkShare = 0.08;   // share of answers that follow lost calls
+constexpr std::size_t kBindingWitnesses = 2;  // number of dispatchers; a single one may be wrong
 
 const char* ToString(Health health) {
   constexpr std::array kNames = {"closed", "open", "recovering"};
@@ -56,7 +59,8 @@
 
 void CircuitBreaker::ApplyPeerReport(const PeerHealthReport& report) {
   Endpoint* endpoint = registry_.FindEndpoint(report.endpoint);
-  if (endpoint == nullptr || endpoint->last_answer > now_ - report.age) return;  // ours is newer
+  // An answer of this instance that is newer than the report overrides the report.
+  if (endpoint == nullptr || endpoint->last_answer > now_ - report.age) return;
   registry_.MarkChanged(*endpoint);
   RateLimitScope& scope = registry_.FindScope(*endpoint);
   const bool binding = report.witnesses >= kBindingWitnesses;
@@ -166,7 +170,7 @@
   endpoint.connect_failed = connect_failed;
   if (endpoint.failures++ == 0) endpoint.first_failure = call.sent;
   const bool recovering = endpoint.health == Health::kRecovering;
-  if (recovering && call.sent < endpoint.health_since) return;  // older than the recovery
+  if (recovering && call.sent < endpoint.health_since) return;  // sent before the recovery
   std::vector<double>& by_class = endpoint.class_failures;
   by_class.resize(settings_.classes.size());
   const std::size_t index = call.message_class;
--- a/src/policy/circuit_breaker.hpp
+++ b/src/policy/circuit_breaker.hpp
@@ -1,4 +1,4 @@
-// Finds outages of endpoints, and brings endpoints back by trial calls and slow start.
+// Detects outages of endpoints, and brings endpoints back into use with trial calls and slow start.
 #ifndef BRASSFRONT_POLICY_CIRCUIT_BREAKER_HPP_
 #define BRASSFRONT_POLICY_CIRCUIT_BREAKER_HPP_
 
@@ -10,14 +10,14 @@
 
 namespace dispatch_policy {
 
-// Mean deviations above the mean latency at which an answer is overdue.
+// An answer is overdue this many mean deviations above the mean latency.
 extern const double kOverdueDeviations;
 
-// The name in the log.
+// Returns the name that logs use for the state.
 [[nodiscard]] const char* ToString(Health health);
 
-// Closed: calls go out. Open: trial calls only. Recovering: calls at a rate that grows within the
-// slow start.
+// States of the breaker of an endpoint: closed (calls are sent), open (only trial calls are sent),
+// recovering (calls are sent at a rate that grows during the slow start).
 class CircuitBreaker {
  public:
   CircuitBreaker(DecisionContext& context, EndpointRegistry& registry, RateLimiter& rate_limiter,
@@ -29,70 +29,76 @@
         rate_limiter_(rate_limiter),
         concurrency_(concurrency_limiter) {}
 
-  // Takes up the end of an attempt: Retry-After and load report of each message, the outcome once a
-  // call.
+  // Processes the end of an attempt. Applies the Retry-After and load report of every message, but
+  // the outcome only once per call.
   void RecordAttempt(const Attempt& attempt, const AttemptCompleted& event);
 
-  // Takes up the end of a health check; ignored if none is under way there.
+  // Processes the end of a health check; ignored if no check of the endpoint is in progress.
   void CompleteHealthCheck(const HealthCheckCompleted& event);
 
-  // Takes up what other dispatchers saw. One witness is checked by a single call, two count as this
-  // instance's own calls would: one that is wrong or lies costs a round trip, whatever it claims.
+  // Processes what other dispatchers observed. The report of one witness is verified with a single
+  // call; the report of two counts like this instance's own calls. A single witness that is wrong
+  // or lies therefore costs only one round trip, whatever it claims.
   void ApplyPeerReport(const PeerHealthReport& report);
 
-  // Nothing is known of an endpoint that an earlier process has left messages for: it is tried by
-  // single calls, the first one at once, and gets a slow start. Ignored where something is known.
+  // Called for an endpoint whose condition is unknown although an earlier process left messages for
+  // it. The endpoint is tested with single calls, the first one at once, and gets a slow start.
+  // Ignored if something is known about the endpoint.
   void RequireTrial(Endpoint& endpoint);
 
-  // Books a call or health check: the next one waits for the pace and, while not closed, for the
-  // next trial.
+  // Accounts for a call or health check that is sent: the next one waits for the rate limit and,
+  // unless the breaker is closed, for the time of the next trial call.
   void RecordCall(Endpoint& endpoint);
 
-  // Changes the state of the breaker, with a line in the log. At the end of a slow start an
-  // instance that calls rarely is limited, as the backlogs of many must not all be sent at once.
+  // Changes the state of the breaker and logs it. At the end of a slow start, limits the rate of an
+  // instance that calls rarely, because the backlogs of many instances must not all be sent at
+  // once.
   void TransitionTo(Endpoint& endpoint, Health health);
 
-  // Whether the endpoint's connection limit, as far as it was seen, leaves room for a call.
+  // Returns whether the endpoint's connection limit, as far as it is known, allows another call.
   [[nodiscard]] bool HasConnectionCapacity(const Endpoint& endpoint) const;
 
-  // Whether so many answers came after lost calls that the network must be losing them.
+  // Returns whether so many answers follow lost calls that the network must be losing calls.
   [[nodiscard]] bool NetworkIsLossy() const;
 
-  // A call failed, or its answer is overdue. A failure alone leaves the endpoint one call at a
-  // time. It is an outage when most calls fail, or when nothing was answered lately: many
-  // dispatchers that each know of one failure would overload a returning destination. Where only
-  // some calls are lost the endpoint stays in use.
+  // Records that a call failed, or that its answer is overdue. After a single failure the endpoint
+  // gets one call at a time. The breaker opens when most calls fail, or when the destination has
+  // not answered recently: otherwise many dispatchers that each know of only one failure would
+  // overload a returning destination. If only some calls are lost, the endpoint stays in use.
   void RecordFailure(Endpoint& endpoint, const Call& call, bool connect_failed = false);
 
  private:
-  // Takes up the outcome of a call or health check. `elapsed` 0: unknown; `retry_after`: its
-  // Retry-After, 0: none.
+  // Processes the outcome of a call or health check. `elapsed` is 0 if unknown; `retry_after` is 0
+  // if the answer had no Retry-After.
   void RecordOutcome(Endpoint& endpoint, Outcome outcome, const Call& call, Duration elapsed,
                      Duration retry_after);
 
-  // A call was delivered: closes the breaker, or starts the recovery after an outage. An answer to
-  // a call from before the endpoint shut says nothing of its return.
+  // Records that a call was delivered: closes the breaker, or starts the recovery after an outage.
+  // If the breaker opened because of rejections or a Retry-After, the answer to a call from before
+  // that does not show that the endpoint is back.
   void RecordSuccess(Endpoint& endpoint, const Call& call);
 
-  // Opens the breaker after rejections alone for longer than a limit's span, or a long Retry-After:
-  // the endpoint will be warming up when it is back, and cannot take the rate from before.
+  // Opens the breaker if all calls were rejected for longer than kMaxLimitSpan, or on a Retry-After
+  // that is longer than this: the endpoint will be warming up when it is back, and cannot take the
+  // previous rate.
   void OpenIfRejectingLong(Endpoint& endpoint, RateLimitScope& scope, Duration retry_after);
 
-  // The endpoint's connection limit is reached: no more connections for this instance than there
-  // are, and one more with each pause from then on. That is neither a rate limit nor an outage, as
-  // calls on the connections that stand are taken.
+  // Records that the endpoint's connection limit is reached. This instance then uses no more than
+  // its present number of connections, plus one more after each kConnectionGrowth. This is neither
+  // a rate limit nor an outage, because calls on existing connections are still accepted.
   void OnConnectionLimit(Endpoint& endpoint);
 
-  // Takes up the latency of a call that was delivered. An answer at the usual latency after silence
-  // means that the silent calls were lost on the way: a slow or hung destination does not answer
-  // like this.
+  // Records the latency of a call that was delivered. An answer at the usual latency after calls
+  // that were not answered means that those calls were lost in the network: a slow or hung
+  // destination would not answer at this latency.
   void RecordLatency(Endpoint& endpoint, double seconds);
 
-  // Whether the endpoint answered lately; a reset is then the end of its connection, not an outage.
+  // Returns whether the endpoint answered recently; a reset then means that the connection ended,
+  // not that there is an outage.
   [[nodiscard]] bool AnsweredRecently(const Endpoint& endpoint) const;
 
-  // Time between trial calls: at the capacity that the endpoint has while warming up, which grows
-  // over the slow start, for this instance's part of the traffic.
+  // Returns the time between trial calls, derived from this instance's share of the capacity that
+  // the endpoint has while warming up, which grows during the slow start.
   Duration TrialInterval(Endpoint& endpoint);
 
   const Settings& settings_;
--- a/src/policy/concurrency_limiter.hpp
+++ b/src/policy/concurrency_limiter.hpp
@@ -1,4 +1,5 @@
-// The calls in flight, and who may have the slots that are left. Implemented in limits.cpp.
+// Limits the number of concurrent calls, and decides which destinations and endpoints may use the
+// remaining slots. A slot is the right to have one call in flight. Implemented in limits.cpp.
 #ifndef BRASSFRONT_POLICY_CONCURRENCY_LIMITER_HPP_
 #define BRASSFRONT_POLICY_CONCURRENCY_LIMITER_HPP_
 
@@ -12,41 +13,44 @@
 
 namespace dispatch_policy {
 
-// Owns all Call records. Where slots are scarce, one destination gets a share of them only, and so
-// do all endpoints whose last call failed, together.
+// Owns all Call records. While slots are scarce, one destination may use only a share of them, and
+// so may all endpoints whose last call failed together.
 class ConcurrencyLimiter {
  public:
   ConcurrencyLimiter(DecisionContext& context, EndpointRegistry& registry)
       : settings_(context.settings), now_(context.now), registry_(registry) {}
 
-  // Starts a call to the endpoint. It has no message yet; `message_class` is that of its first one.
+  // Starts a call to the endpoint, without messages yet. `message_class` is the class of its first
+  // message.
   Call& BeginCall(Endpoint& endpoint, Destination& destination, std::size_t message_class);
 
-  // Ends a call whose messages all have an outcome: its slot is free, and the reference invalid.
+  // Ends a call whose messages all have an outcome: frees its slot and invalidates the reference.
   void EndCall(Endpoint& endpoint, const Call& call);
 
-  // Calls that may still start; SIZE_MAX where there is no limit.
+  // Returns the number of calls that may still start; SIZE_MAX if there is no limit.
   [[nodiscard]] std::size_t FreeSlots() const;
 
-  // Whether few slots would be left once `taken` more are filled.
+  // Returns whether few slots would remain after `taken` more calls.
   [[nodiscard]] bool SlotsAreScarce(std::size_t taken) const;
 
-  // Whether the destination may have the next slot, while others wait. The slot that it would fill
-  // counts as taken: with five slots or fewer there would be nothing left to share otherwise.
+  // Returns whether the destination may use the next slot while other destinations wait. That slot
+  // already counts as taken: otherwise no slot would be left for the others if there are five slots
+  // or fewer.
   [[nodiscard]] bool WithinDestinationShare(const Destination& destination) const;
 
-  // Whether the endpoint may have the next slot. All whose last call failed share a quarter of the
-  // slots, as many of them could fill all slots without any reaching its own share.
+  // Returns whether the endpoint may use the next slot. All endpoints whose last call failed share
+  // a quarter of the slots, because many of them could fill all slots without any destination
+  // reaching its own share.
   [[nodiscard]] bool WithinUnhealthyShare(const Endpoint& endpoint) const;
 
-  // The call must be in flight.
+  // Returns the call with that id, which must be in flight.
   Call& CallAt(std::uint64_t id) { return calls_.at(id); }
 
  private:
-  // Whether messages wait for another destination.
+  // Returns whether messages wait for another destination.
   [[nodiscard]] bool OtherDestinationsWait(const Destination& destination) const;
 
-  // That share of all slots, 1 at least.
+  // Returns the number of slots that make up `share` of all slots, at least 1.
   [[nodiscard]] double SlotsForShare(double share) const;
 
   const Settings& settings_;
--- a/src/policy/condition_transfer.cpp
+++ b/src/policy/condition_transfer.cpp
@@ -6,7 +6,7 @@
 
 namespace dispatch_policy {
 
-constexpr double kFewFailures = 0.05;  // of recent calls: as good as none
+constexpr double kFewFailures = 0.05;  // share of recent calls that is negligible
 
 bool IsOrdinary(const RateLimitCondition& limit, Time now) {
   const bool free_now = std::max(limit.wait_until, limit.next_call) <= now;
--- a/src/policy/condition_transfer.hpp
+++ b/src/policy/condition_transfer.hpp
@@ -1,4 +1,4 @@
-// Hands what was observed of endpoints and destinations from one process of a dispatcher to the
+// Transfers the conditions of endpoints and destinations from one process of a dispatcher to the
 // next. Implemented in condition_transfer.cpp.
 #ifndef BRASSFRONT_POLICY_CONDITION_TRANSFER_HPP_
 #define BRASSFRONT_POLICY_CONDITION_TRANSFER_HPP_
@@ -12,25 +12,27 @@
 
 namespace dispatch_policy {
 
+// Restores stored conditions, and collects those that have changed.
 class ConditionTransfer {
  public:
   ConditionTransfer(DecisionContext& context, EndpointRegistry& registry, CircuitBreaker& breaker)
       : now_(context.now), context_(context), registry_(registry), breaker_(breaker) {}
 
-  // Takes up what was stored; ignored for an unknown endpoint. Moments that should have passed and
-  // lie in the future count as now.
+  // Restores a stored condition; ignored for an unknown endpoint. Times that must be in the past
+  // but are in the future are set to now.
   void Restore(const EndpointConditionRestored& event);
   void Restore(const DestinationConditionRestored& event);
 
-  // Nothing was stored for a destination with messages of an earlier process.
+  // Called when no condition was stored for a destination that has messages of an earlier process.
   void OnLost(const DestinationConditionLost& event);
 
-  // What may have changed since the last call, each endpoint and destination once.
+  // Returns the conditions that may have changed since the last call, one for each endpoint and
+  // destination.
   std::vector<ConditionChange> TakeChanges();
 
  private:
-  // The stored condition with its past moments at now or before. The listed limit is that of the
-  // present list.
+  // Returns the stored condition with past times limited to now. A listed limit is taken from the
+  // current endpoint list.
   [[nodiscard]] RateLimitCondition Sanitized(RateLimitCondition stored,
                                              const RateLimitCondition& present) const;
 
--- a/src/policy/decision_context.hpp
+++ b/src/policy/decision_context.hpp
@@ -1,5 +1,5 @@
-// What all components of the policy share while it decides: settings, time, random numbers, and the
-// actions that are being collected. Implemented in policy_state.cpp.
+// State that all components of the policy share during a decision: settings, time, random numbers,
+// and the actions collected so far. Implemented in policy_state.cpp.
 #ifndef BRASSFRONT_POLICY_DECISION_CONTEXT_HPP_
 #define BRASSFRONT_POLICY_DECISION_CONTEXT_HPP_
 
@@ -14,36 +14,37 @@
 
 namespace dispatch_policy {
 
-// Owned by the policy; its components keep a reference to it. Not safe for use by several threads.
+// Owned by the policy, whose components keep a reference to the context. Not thread-safe.
 class DecisionContext {
  public:
-  // `seed`: of `random`. A group size of 0 counts as 1.
+  // `seed` initializes `random`. A group size of 0 counts as 1.
   DecisionContext(Settings settings, std::uint64_t seed);
 
-  // Begins a decision at this time, or at that of the last one if the clock has run backwards.
+  // Begins a decision at this time, or at the time of the last decision if the clock has run
+  // backwards.
   void Begin(Time at);
 
-  // Adds an action to those of this decision.
+  // Adds an action to this decision.
   template <typename OneAction>
   void Do(OneAction action) {
     actions.emplace_back(std::move(action));
   }
 
-  // A random duration between half of `duration` and one and a half times `duration`, so that
-  // dispatchers that saw one fault together do not call again at one moment.
+  // Returns a random duration between half of `duration` and one and a half times `duration`, so
+  // that dispatchers that observed the same fault do not all retry at the same time.
   Duration AddJitter(Duration duration);
 
   Settings settings;
-  // Over all message classes; a second where there are no classes.
+  // Minimum over all message classes; 1 second if there are no classes.
   Duration min_deadline;
   Duration min_objective;
-  // Over all message classes; 0 where there are none.
+  // Maximum over all message classes; 0 if there are no classes.
   Duration max_deadline{};
   // Time of the first decision.
   std::optional<Time> started;
-  // Time of this decision; never falls.
+  // Time of this decision; never decreases.
   Time now = Time::min();
-  // What this decision asks the caller to do, in order.
+  // Actions of this decision, in order.
   std::vector<Action> actions;
   // All random numbers of the policy come from here: the same seed and events give the same
   // actions.
--- a/src/policy/endpoint_registry.hpp
+++ b/src/policy/endpoint_registry.hpp
@@ -15,10 +15,10 @@
 
 namespace dispatch_policy {
 
-// Time constant of arrival and send rates, at least: longer than clumps of messages and spans of
-// limits.
+// Minimum time constant of arrival and send rates: longer than bursts of messages and than the
+// windows of rate limits.
 extern const Seconds kMessageRateMemory;
-// Time constant of rates of accepted calls: the span of a limit is one to two seconds.
+// Time constant of the rates of accepted calls: the window of a rate limit is 1 to 2 seconds.
 extern const Seconds kCallRateMemory;
 
 // Owns all Endpoint and Destination records. References to endpoints are valid until the next
@@ -28,57 +28,59 @@
   explicit EndpointRegistry(DecisionContext& context)
       : settings_(context.settings), now_(context.now), context_(context) {}
 
-  // Asks for the endpoint list where settings say so, once and again after the source has failed.
+  // Subscribes to the endpoint list if the settings require it: once, and again after the source of
+  // the list has failed.
   void Subscribe();
 
-  // Applies an endpoint list or changes of it; one older than the last is ignored.
+  // Applies an endpoint list or changes to it; a list older than the last one is ignored.
   void ApplyList(const EndpointList& event);
 
-  // The destination of that id, added if it is not known.
+  // Returns the destination with that id, and adds it if it is unknown.
   Destination& FindOrAddDestination(DestinationId id);
 
-  // Null if the endpoint is unknown.
+  // Returns null if the endpoint is unknown.
   Endpoint* FindEndpoint(EndpointId id);
 
-  // What the endpoint shares its limit with: its own scope, or its destination's.
+  // Returns the scope of the endpoint's rate limit: its own scope, or that of its destination.
   RateLimitScope& FindScope(Endpoint& endpoint);
 
-  // Whether the endpoint's kind has rate limits and outages of its own.
+  // Returns whether endpoints of this kind have their own rate limits and outages.
   [[nodiscard]] bool HasOwnRateLimit(const Endpoint& endpoint) const;
 
-  // Messages that one call to the endpoint takes, 1 at least.
+  // Returns the maximum number of messages in one call to the endpoint, at least 1.
   [[nodiscard]] std::size_t MaxBatch(const Endpoint& endpoint) const;
 
-  // The endpoint must be known.
+  // Returns the endpoint, which must be known.
   Endpoint& EndpointAt(EndpointId id) { return endpoints_.at(id); }
 
-  // The destination must be known: some message or list has named it.
+  // Returns the destination, which must be known: a message or an endpoint list has named it.
   Destination& DestinationAt(DestinationId id) { return destinations_.at(id); }
 
-  // The condition of the endpoint, or of its limit, may have changed.
+  // Marks that the condition of the endpoint, or of its rate limit, may have changed.
   void MarkChanged(const Endpoint& endpoint) { changed_.insert(endpoint.entry.endpoint); }
 
-  // The endpoints that were marked since the last call.
+  // Returns the endpoints that were marked since the last call.
   std::set<EndpointId> TakeChanged() { return std::exchange(changed_, {}); }
 
-  // Destinations that hold messages or whose gate is not in normal mode, in ascending order.
+  // Destinations with waiting messages or whose admission gate is not in normal mode, in ascending
+  // order.
   std::set<DestinationId>& active() { return active_; }
 
  private:
   // Adds or updates one endpoint.
   void ApplyEntry(const EndpointEntry& entry);
 
-  // The listed rate of the entry, in calls a second; 0, with a line in the log, if it is out of
-  // range: a huge rate would make the admission gate let all messages in.
+  // Returns the listed rate of the entry, in calls per second. If the rate is out of range, logs
+  // this and returns 0: a huge rate would make the admission gate accept all messages.
   double ValidListedRate(const EndpointEntry& entry);
 
-  // Logs, once, that no endpoint of the destination takes work; its messages wait for endpoints to
-  // come, as when all of them drain at once during a deployment.
+  // Logs once if no endpoint of the destination takes work. The messages wait until endpoints are
+  // listed again; for example, all endpoints may drain at once during a deployment.
   void LogIfNoneListed(DestinationId id);
 
   // Drops endpoints that were removed long ago and have no call in flight, so that memory stays
-  // bounded when endpoints are replaced for years. What is known of one that is listed again soon
-  // is kept.
+  // bounded when endpoints are replaced for years. The state of an endpoint that is listed again
+  // soon is kept.
   void ForgetRemovedEndpoints();
 
   const Settings& settings_;
--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -6,11 +6,12 @@
 
 namespace dispatch_policy {
 
-constexpr double kFailureCost = 20;        // times the latency, where all calls fail
-constexpr double kMinUrgency = 0.02;       // of its weight, for what loses nothing by waiting
-constexpr double kZonePenaltyWeight = 10;  // of the penalty, against latency
+constexpr double kFailureCost = 20;  // as a multiple of the latency, if all calls fail
+// Share of the weight that counts as urgency even if a message loses nothing by waiting.
+constexpr double kMinUrgency = 0.02;
+constexpr double kZonePenaltyWeight = 10;  // factor of the penalty, relative to the latency
 
-// The share of its weight that a message of this age has left.
+// Returns the share of its weight that a message of this age still has.
 static double WeightShareAt(const ClassSettings& settings, Duration age, Decay decay) {
   const Duration objective = settings.latency_objective;
   if (age <= objective || objective <= Duration{}) return 1;
--- a/src/policy/endpoint_selector.hpp
+++ b/src/policy/endpoint_selector.hpp
@@ -1,4 +1,4 @@
-// Chooses which waiting message gets the next free slot, and which endpoint takes it.
+// Selects which waiting message gets the next free slot, and which endpoint it is sent to.
 #ifndef BRASSFRONT_POLICY_ENDPOINT_SELECTOR_HPP_
 #define BRASSFRONT_POLICY_ENDPOINT_SELECTOR_HPP_
 
@@ -16,14 +16,14 @@
 
 namespace dispatch_policy {
 
-// A message with the endpoint that can take it.
+// A message and the endpoint that it can be sent to.
 struct Candidate {
   Message* message = nullptr;
   Endpoint* endpoint = nullptr;
   double urgency = -1;
 };
 
-// Keeps no state of its own. It sends calls and health checks.
+// Sends calls and health checks. Has no state of its own.
 class EndpointSelector {
  public:
   EndpointSelector(DecisionContext& context, EndpointRegistry& registry, RateLimiter& rate_limiter,
@@ -44,49 +44,54 @@
   void Dispatch();
 
  private:
-  // Sends a call with this message and others that may join it.
+  // Sends a call with this message and others that may share the call.
   void SendCall(Endpoint& endpoint, Message& first);
 
-  // Sends a health check as the trial call where no waiting message may be risked.
+  // Sends a health check as the trial call if no waiting message may be used for it.
   void SendHealthChecks();
 
-  // The most urgent message that some endpoint of the destination can take; for the call to
-  // `joined` if given, whose first message was `expiring` or not. No message: none can be sent.
+  // Returns the most urgent message that can be sent to an endpoint of the destination; an empty
+  // candidate if there is none. If `joined` is given, the message is for a call to that endpoint
+  // that has already begun, and `expiring` is ExpiresBeforeAnswer of its first message.
   Candidate BestMessage(Destination& destination, Endpoint* joined = nullptr,
                         bool expiring = false);
 
-  // The cheapest endpoint that can take a call now; null if there is none.
+  // Returns the endpoint with the lowest expected cost that can take a call now; null if there is
+  // none.
   Endpoint* BestEndpoint(Destination& destination, std::size_t message_class);
 
-  // Whether a call to the endpoint may start now. Ends its slow start when the time is over.
+  // Returns whether a call to the endpoint may start now. Ends the slow start of the endpoint when
+  // its duration is over.
   bool CanCall(Endpoint& endpoint);
 
-  // Whether the message may be sent to the endpoint now.
+  // Returns whether the message may be sent to the endpoint now.
   [[nodiscard]] bool CanSend(const Message& message, const Endpoint& endpoint) const;
 
-  // Whether the message may be the trial call to an endpoint whose breaker is open, which saves a
-  // health check. Where no connection came up the next one will not either or will be answered, so
-  // one of many dispatchers risks a message with an idempotency key. One of a few, whose trials
-  // come often, would use up its attempts.
+  // Returns whether the message may be the trial call to an endpoint whose breaker is open, which
+  // saves a health check. If the last connection attempt failed, the next one will also fail or the
+  // message will be answered, so in a large group a dispatcher uses a message with an idempotency
+  // key. In a small group trial calls are frequent and would use up the attempts of the message.
   [[nodiscard]] bool MayBeTrialCall(const Message& message, const Endpoint& endpoint) const;
 
-  // Expected latency of one more call there, raised by failures of the class: a class that fails at
-  // one endpoint moves to others, and the other classes stay.
+  // Returns the expected latency of another call to the endpoint, increased by failures of the
+  // message class: a class that fails at one endpoint moves to other endpoints, and the other
+  // classes stay.
   [[nodiscard]] double ExpectedCost(const Endpoint& endpoint, std::size_t message_class) const;
 
-  // The zone penalty of an endpoint with limits of its own; 0 for others.
+  // Returns the zone penalty of an endpoint with its own limits; 0 for other endpoints.
   [[nodiscard]] double ZonePenalty(const Endpoint& endpoint) const;
 
-  // The weight that the message loses by waiting for half its latency objective, and a little for
-  // its weight.
+  // Returns the weight that the message loses by waiting for half of its latency objective, plus a
+  // small share of its present weight.
   [[nodiscard]] double Urgency(const Message& message) const;
 
-  // Whether the message's deadline comes before an answer is expected. Such messages share calls
-  // with each other only, as a call ends at the deadline of the first of its messages.
+  // Returns whether the message's deadline comes before an answer is expected. Such messages share
+  // calls only with each other, because a call ends at the earliest deadline of its messages.
   [[nodiscard]] bool ExpiresBeforeAnswer(const Message& message, const Endpoint& endpoint) const;
 
-  // Whether the message need not wait for others to join its call. Waiting a part of its latency
-  // objective costs nothing, and spares the rate limit calls of one message.
+  // Returns whether the message can be sent without waiting for others to share its call. Waiting
+  // for a part of its latency objective costs nothing, and saves rate limit that calls with a
+  // single message would use.
   [[nodiscard]] bool BatchIsReady(const Destination& destination, const Message& message,
                                   const Endpoint& endpoint) const;
 
--- a/src/policy/limits.cpp
+++ b/src/policy/limits.cpp
@@ -7,12 +7,14 @@
 
 namespace dispatch_policy {
 
-constexpr double kOnsetShare = 0.9;           // of the discard threshold; the paper's H
-constexpr double kAbatementShare = 0.78;      // of the discard threshold; the paper's L
-constexpr double kOverloadRejectShare = 0.6;  // of new messages; the paper's q
-constexpr double kMinDiscardThreshold = 8;    // messages; below it one burst flaps the gate
-constexpr double kMaxCapacityMultiple = 2;    // backlog per message that may still be accepted
-constexpr Duration kInitialRetryAfter = std::chrono::seconds(1);  // until a time was measured
+constexpr double kOnsetShare = 0.9;           // share of the discard threshold; H in the paper
+constexpr double kAbatementShare = 0.78;      // share of the discard threshold; L in the paper
+constexpr double kOverloadRejectShare = 0.6;  // share of new messages; q in the paper
+constexpr double kMinDiscardThreshold = 8;    // messages; with fewer a burst makes the gate flap
+// Maximum ratio of a destination's backlog to the number of messages that may still be accepted.
+constexpr double kMaxCapacityMultiple = 2;
+// Retry-After while the time from onset to abatement is unknown.
+constexpr Duration kInitialRetryAfter = std::chrono::seconds(1);
 
 bool AdmissionGate::Admit(Destination& destination) {
   Update(destination);
@@ -84,9 +86,10 @@
   return share;
 }
 
-constexpr double kScarceShare = 0.2;       // of all slots: with fewer free, shares are enforced
-constexpr double kDestinationShare = 0.5;  // of all slots, for one destination
-constexpr double kUnhealthyShare = 0.25;   // of all slots, for endpoints whose last call failed
+// Shares of all slots.
+constexpr double kScarceShare = 0.2;       // if fewer are free, the other shares are enforced
+constexpr double kDestinationShare = 0.5;  // for one destination
+constexpr double kUnhealthyShare = 0.25;   // for endpoints whose last call failed
 
 Call& ConcurrencyLimiter::BeginCall(Endpoint& endpoint, Destination& destination,
                                     std::size_t message_class) {
@@ -148,19 +151,24 @@
 const int kMaxBackoffDoublings = 3;
 const double kBatchingShare = 0.4;
 
-constexpr double kRejectionBackoff = 0.85;     // of the accepted rate, after a rejection
-constexpr double kRecoveryPerSecond = 0.15;    // growth of a rate; more with each span of success
-constexpr double kLowAllowance = 0.3;          // reported share left below which no rate grows
-constexpr double kAssumedLimit = 3;            // calls a second of all dispatchers, where unknown
-constexpr double kMinShareOfDemand = 0.2;      // of our demand: a learned rate is never lower
-constexpr std::size_t kLargeGroup = 10;        // dispatchers: each one's calls are a small part
-constexpr double kMinCallsToLearnRate = 6;     // in kCallRateMemory: fewer say nothing of a limit
-constexpr double kUsableEvenShare = 0.8;       // of the even share, after a rejection then
-constexpr double kRareCallerBackoff = 0.5;     // of the rate, for each further rejection then
-constexpr double kMinUsableShare = 0.4;        // of that usable share: the lowest rate then
-constexpr double kPauseInCallIntervals = 0.6;  // of our mean interval; doubles with rejections
-constexpr double kMinLeasedRate = 0.05;        // calls a second: one call in 20 s
-constexpr double kWholeMemories = 8;           // time constants after which nothing older counts
+constexpr double kRejectionBackoff = 0.85;  // factor of the accepted rate after a rejection
+// Growth of a learned rate; increases with each kMaxLimitSpan without a rejection.
+constexpr double kRecoveryPerSecond = 0.15;
+constexpr double kLowAllowance = 0.3;      // remaining share of the limit; below, no rate grows
+constexpr double kAssumedLimit = 3;        // calls per second of all dispatchers, if unknown
+constexpr double kMinShareOfDemand = 0.2;  // minimum of a learned rate, as a share of own demand
+constexpr std::size_t kLargeGroup = 10;    // dispatchers; each one's calls are a small part of all
+
+// Rates of instances that call rarely.
+constexpr double kMinCallsToLearnRate = 6;  // in kCallRateMemory; fewer do not show a limit
+constexpr double kUsableEvenShare = 0.8;    // of the even share of the limit, after a rejection
+constexpr double kRareCallerBackoff = 0.5;  // factor of the rate for each further rejection
+constexpr double kMinUsableShare = 0.4;     // minimum rate, as a share of the usable even share
+
+// Pause after a rejection, in mean intervals between own calls; doubles with each rejection.
+constexpr double kPauseInCallIntervals = 0.6;
+constexpr double kMinLeasedRate = 0.05;  // calls per second; one call in 20 s
+constexpr double kWholeMemories = 8;     // time constants after which older events are negligible
 
 void RateEstimator::Add(Time now) {
   value_ = value_ * Weight(now - last_) + 1 / memory_;
--- a/src/policy/message_ledger.cpp
+++ b/src/policy/message_ledger.cpp
@@ -8,7 +8,7 @@
 
 void MessageLedger::AdmitMessage(const MessageArrived& event) {
   if (messages_.count(event.message) != 0) return;
-  const std::size_t index = event.message_class;  // out of range: nothing is known to be safe
+  const std::size_t index = event.message_class;  // out of range: assume that nothing is safe
   if (index >= settings_.classes.size()) {
     return context_.Do(RejectMessage{event.message, {}, GiveUpReason::kUnknownClass});
   }
@@ -23,7 +23,7 @@
 
 void MessageLedger::RestoreMessage(const MessageRestored& event) {
   if (messages_.count(event.message) != 0) return;
-  const std::size_t index = event.message_class;  // out of range: nothing is known to be safe
+  const std::size_t index = event.message_class;  // out of range: assume that nothing is safe
   if (index >= settings_.classes.size()) {
     return context_.Do(FailMessage{event.message, GiveUpReason::kUnknownClass});
   }
@@ -158,8 +158,11 @@
          settings.dedup_scope == DedupScope::kDestination;
 }
 
-constexpr Duration kUnsentPause = std::chrono::milliseconds(100);  // after a call was not sent
-constexpr double kMinOverdueShare = 0.2;  // of the shortest objective; handshakes and batches vary
+// Pause before a retry after a call was not sent.
+constexpr Duration kUnsentPause = std::chrono::milliseconds(100);
+// Minimum time until an answer is overdue, as a share of the shortest latency objective: the
+// duration of handshakes and batches varies.
+constexpr double kMinOverdueShare = 0.2;
 
 void RetryScheduler::CompleteAttempt(const AttemptCompleted& event) {
   Message* message = ledger_.RecordCompletion(event);
@@ -177,7 +180,7 @@
 void RetryScheduler::ReviewMessages() {
   ledger_.ForgetIdleKeys();
   for (auto it = ledger_.messages().begin(); it != ledger_.messages().end();) {
-    Message& message = it++->second;  // giving it up may erase it
+    Message& message = it++->second;  // giving the message up may erase it
     if (message.finished) continue;
     const Time last = message.deadline - settings_.decision_interval;
     const bool idle = message.attempts_in_flight == 0;
--- a/src/policy/message_ledger.hpp
+++ b/src/policy/message_ledger.hpp
@@ -1,4 +1,4 @@
-// The messages that were accepted, their attempts, and the one final answer that each gets.
+// Records of the accepted messages and their attempts. Each message gets exactly one final answer.
 #ifndef BRASSFRONT_POLICY_MESSAGE_LEDGER_HPP_
 #define BRASSFRONT_POLICY_MESSAGE_LEDGER_HPP_
 
@@ -14,8 +14,8 @@
 
 namespace dispatch_policy {
 
-// Owns all Message records and the queues of ordering keys. References to messages are valid until
-// the message is forgotten.
+// Owns all Message records and the queues of ordering keys. References to a message are valid until
+// Forget drops its record.
 class MessageLedger {
  public:
   MessageLedger(DecisionContext& context, EndpointRegistry& registry, AdmissionGate& admission_gate)
@@ -25,74 +25,74 @@
         registry_(registry),
         gate_(admission_gate) {}
 
-  // A client has submitted a message: holds it, or rejects it.
+  // Accepts or rejects a message that a client has submitted.
   void AdmitMessage(const MessageArrived& event);
 
-  // Holds a message that an earlier process accepted; it passes the admission gate. Its attempts
-  // and when it may first have run still count, so that no limit is exceeded and nothing is sent
-  // after its dedup window.
+  // Accepts a message that an earlier process had accepted; the admission gate does not apply. The
+  // earlier attempts and the time when the message may first have run still count, so that no limit
+  // is exceeded and the message is not sent after its dedup window.
   void RestoreMessage(const MessageRestored& event);
 
-  // Drops a message whose client has gone.
+  // Drops a message whose client has disconnected.
   void CancelMessage(const MessageCancelled& event);
 
-  // Records the end of an attempt: whether the message may have run, and where. Its ordering key
-  // cools down if the attempt may still run. Null if the message or its attempt is unknown, or the
-  // attempt has an outcome already.
+  // Records the end of an attempt: whether the message may have run, and in which zone. If the
+  // attempt may still be running, starts the cooldown of the ordering key. Returns null if the
+  // message or the attempt is unknown, or if the attempt already has an outcome.
   Message* RecordCompletion(const AttemptCompleted& event);
 
-  // Gives the message up at once: rejects it where submitting it again is harmless, else fails it.
+  // Gives the message up: rejects it if submitting it again is harmless, otherwise fails it.
   void GiveUp(Message& message, GiveUpReason reason);
 
-  // The message is over. Its record stays while an attempt is in flight.
+  // Marks the message as finished. Its record stays while an attempt is in flight.
   void Finish(Message& message);
 
-  // Drops the record of a message that is over and has no attempt in flight.
+  // Drops the record of the message if the message is finished and has no attempt in flight.
   void Forget(const Message& message);
 
-  // Cancels all attempts in flight, where the caller can do so.
+  // Cancels all attempts in flight if the caller supports it.
   void CancelAttempts(Message& message);
 
-  // Whether no further attempt is allowed.
+  // Returns whether no further attempt is allowed.
   [[nodiscard]] bool AttemptsExhausted(const Message& message) const;
 
-  // Whether the receiver may have forgotten the message's idempotency key: it must not be sent
-  // again.
+  // Returns whether the receiver may have forgotten the message's idempotency key: the message must
+  // not be sent again then.
   [[nodiscard]] bool DedupWindowExpired(const Message& message) const;
 
-  // Whether the message is the next of its ordering key.
+  // Returns whether the message is the next one of its ordering key.
   [[nodiscard]] bool IsNextOfKey(const Message& message) const;
 
-  // The message must have an ordering key.
+  // Returns the end of the cooldown of the message's ordering key. The message must have one.
   [[nodiscard]] Time KeyCooldownEnd(const Message& message) const {
     return keys_.at(message.key).cooldown_until;
   }
 
-  // Drops ordering keys without messages.
+  // Drops ordering keys that have no messages and are not in cooldown.
   void ForgetIdleKeys();
 
-  // Until when an attempt of the message may start.
+  // Returns the latest time at which an attempt of the message may start.
   [[nodiscard]] Time LatestStart(const Message& message) const;
 
-  // Until when the message waits for others to join its call.
+  // Returns the time until which the message waits for others to share its call.
   [[nodiscard]] Time BatchingDeadline(const Message& message) const;
 
-  // Settings of the message's class.
+  // Returns the settings of the message's class.
   [[nodiscard]] const ClassSettings& ClassOf(const Message& message) const {
     return settings_.classes[message.message_class];
   }
 
-  // The message must be known.
+  // Returns the message, which must be known.
   Message& MessageAt(MessageId id) { return messages_.at(id); }
 
-  // All messages that are not forgotten, in ascending order of their ids.
+  // Messages whose records have not been dropped, in ascending order of their ids.
   std::map<MessageId, Message>& messages() { return messages_; }
 
  private:
   // Queues the message for its destination, and for its key if its class is ordered.
   void Enqueue(Message message, DestinationId destination, const std::string& key);
 
-  // Whether submitting the message again does no harm.
+  // Returns whether submitting the message again is harmless.
   [[nodiscard]] bool SafeToResubmit(const Message& message) const;
 
   const Settings& settings_;
--- a/src/policy/policy_components.hpp
+++ b/src/policy/policy_components.hpp
@@ -1,4 +1,5 @@
-// The components of the policy and how they are wired: each uses those above it only.
+// The components of the policy and their dependencies: each component uses only those declared
+// above it.
 #ifndef BRASSFRONT_POLICY_POLICY_COMPONENTS_HPP_
 #define BRASSFRONT_POLICY_POLICY_COMPONENTS_HPP_
 
@@ -19,13 +20,13 @@
 
 namespace dispatch_policy {
 
-// Neither copied nor moved, as the components refer to each other.
+// Neither copyable nor movable, because the components hold references to each other.
 struct DispatchPolicy::Impl {
   Impl(Settings settings, std::uint64_t seed) : context(std::move(settings), seed) {}
   Impl(const Impl&) = delete;
   Impl& operator=(const Impl&) = delete;
 
-  // Hands each event to the component that it is for.
+  // Passes each event to the component that handles it.
   void On(const MessageArrived& event) { ledger.AdmitMessage(event); }
   void On(const MessageRestored& event) { ledger.RestoreMessage(event); }
   void On(const MessageCancelled& event) { ledger.CancelMessage(event); }
--- a/src/policy/policy_state.cpp
+++ b/src/policy/policy_state.cpp
@@ -32,7 +32,7 @@
 const Seconds kMessageRateMemory{10};
 const Seconds kCallRateMemory{3};
 
-constexpr double kMaxListedRate = 1e6;  // calls a second; more can only be a mistake
+constexpr double kMaxListedRate = 1e6;  // calls per second; a higher rate can only be a mistake
 
 void EndpointRegistry::Subscribe() {
   if (!settings_.subscribe_to_endpoint_list || std::exchange(subscribed_, true)) return;
--- a/src/policy/rate_estimator.hpp
+++ b/src/policy/rate_estimator.hpp
@@ -1,4 +1,4 @@
-// Estimates the rate of events from when they were seen. Implemented in limits.cpp.
+// Estimates the rate of events from their times. Implemented in limits.cpp.
 #ifndef BRASSFRONT_POLICY_RATE_ESTIMATOR_HPP_
 #define BRASSFRONT_POLICY_RATE_ESTIMATOR_HPP_
 
@@ -6,25 +6,26 @@
 
 namespace dispatch_policy {
 
-// An exponentially weighted moving rate. The weights of what was seen since `first` are scaled up
-// to those of the whole memory, so that a dispatcher that has just started does not underestimate
-// its rates, and the rates of all dispatchers add up to that of the group.
+// An exponentially weighted moving rate. The weights of events since `first` are normalized to a
+// sum of 1, so that a dispatcher that has just started does not underestimate its rates, and the
+// rates of all dispatchers add up to that of the group.
 class RateEstimator {
  public:
-  // `memory`: time constant of the weights, above 0. `first`: when events can first be seen.
+  // `memory` is the time constant of the weights, above 0. `first` is the earliest time at which
+  // events can be observed.
   RateEstimator(Seconds memory, Time first) : memory_(memory.count()), first_(first) {}
 
-  // Counts one event; `now` never falls from call to call.
+  // Counts one event. `now` must not decrease from call to call.
   void Add(Time now);
 
-  // Goes on from a rate that an earlier estimator had, in events a second.
+  // Continues from the rate of an earlier estimator, in events per second.
   void Resume(double rate, Time now);
 
-  // Events a second; 0 before the first one.
+  // Returns the rate in events per second; 0 before the first event.
   [[nodiscard]] double Rate(Time now) const;
 
  private:
-  // Weight of what was seen `age` ago, 0 to 1.
+  // Returns the weight, 0 to 1, of an event that was observed `age` ago.
   [[nodiscard]] double Weight(Duration age) const;
 
   double memory_;
--- a/src/policy/retry_scheduler.hpp
+++ b/src/policy/retry_scheduler.hpp
@@ -1,5 +1,5 @@
-// When an attempt times out, when a message is tried again, and when it is given up. Implemented in
-// message_ledger.cpp.
+// Decides when an attempt times out, when a message is retried, and when it is given up.
+// Implemented in message_ledger.cpp.
 #ifndef BRASSFRONT_POLICY_RETRY_SCHEDULER_HPP_
 #define BRASSFRONT_POLICY_RETRY_SCHEDULER_HPP_
 
@@ -13,7 +13,7 @@
 
 namespace dispatch_policy {
 
-// Owns the wake-up timer. It starts no attempt: that is up to EndpointSelector.
+// Owns the wake-up timer. It does not start attempts: EndpointSelector does that.
 class RetryScheduler {
  public:
   RetryScheduler(DecisionContext& context, EndpointRegistry& registry,
@@ -27,38 +27,39 @@
         ledger_(ledger),
         breaker_(breaker) {}
 
-  // Takes up the end of an attempt: the message is over, given up, or waits for its retry.
+  // Processes the end of an attempt: the message is finished, given up, or queued for a retry.
   void CompleteAttempt(const AttemptCompleted& event);
 
-  // Gives up messages whose time is up or whose dedup window has closed, and looks for overdue
-  // answers.
+  // Gives up messages whose deadline or dedup window has passed or whose endpoints are all
+  // unavailable until the deadline, and checks for overdue answers.
   void ReviewMessages();
 
-  // Asks for a timer at the earliest moment at which waiting alone changes a decision.
+  // Requests a timer for the earliest time at which a decision changes without any other event.
   void SetWakeUpTimer();
 
-  // The timer fired. It may be a little early where the caller's clock is coarser; then it is set
-  // again.
+  // Called when the timer has fired. It may fire a little early if the caller's clock is coarser
+  // than a nanosecond; it is then set again.
   void OnTimerFired() { wake_at_ = Time::min(); }
 
-  // Timeout of an attempt of the message at the endpoint, always above 0.
+  // Returns the timeout of an attempt of the message at the endpoint, always above 0.
   [[nodiscard]] Duration AttemptTimeout(const Message& message, const Endpoint& endpoint) const;
 
  private:
-  // Time after which an answer is overdue. Doubled with each failure in a row, so that answers of
-  // an endpoint that has become slow still count.
+  // Returns the time after which an answer is overdue. The time doubles with each consecutive
+  // failure, so that answers of an endpoint that has become slow still count.
   [[nodiscard]] Duration OverdueAfter(const Endpoint& endpoint) const;
 
-  // Gives the message up or queues it for a retry, after a pause where the endpoint failed or the
-  // call was not sent: without one all attempts would be used up while no slot is free.
+  // Gives the message up or queues it for a retry. The retry waits for a pause if the endpoint
+  // failed or the call was not sent: without the pause all attempts would be used up while no slot
+  // is free.
   void ScheduleRetry(Message& message, const AttemptCompleted& event);
 
-  // Counts a call without an answer as a failure long before its message's deadline. Its attempt is
-  // cancelled when the slot is wanted or another attempt may do better.
+  // Counts a call with an overdue answer as a failure, long before the message's deadline. Cancels
+  // the attempt if its slot is needed or if another attempt may succeed.
   void ReviewAttempt(Message& message);
 
-  // Whether every listed endpoint has asked to wait until `last` or longer: messages are given up
-  // now, not then.
+  // Returns whether the Retry-After of every listed endpoint ends at `last` or later. The messages
+  // are then given up now instead of at that time.
   bool AllEndpointsWaitPast(DestinationId destination, Time last);
 
   const Settings& settings_;
@@ -68,7 +69,7 @@
   ConcurrencyLimiter& concurrency_;
   MessageLedger& ledger_;
   CircuitBreaker& breaker_;
-  Time wake_at_ = Time::min();  // of the timer that is set
+  Time wake_at_ = Time::min();  // time of the timer that is set
 };
 
 }  // namespace dispatch_policy
--- a/src/policy/seconds.hpp
+++ b/src/policy/seconds.hpp
@@ -1,4 +1,4 @@
-// Durations as floating-point seconds, the unit of all rates and shares here.
+// Durations as floating-point seconds, in which the policy computes all rates.
 #ifndef BRASSFRONT_POLICY_SECONDS_HPP_
 #define BRASSFRONT_POLICY_SECONDS_HPP_
 
