--- a/adapter/simulator_host.cpp
+++ b/adapter/simulator_host.cpp
@@ -14,7 +14,7 @@
 }
 
 std::size_t ParseCount(std::string_view path, const Line& line) {
-  const std::uint64_t count = line.WholeOr(path, 0);
+  const std::uint64_t count = line.UnsignedOr(path, 0);
   if (count > kMaxCount) throw WireError("a count out of range: " + std::string(path));
   return count;
 }
@@ -49,7 +49,7 @@
   const std::string_view own_limits = line.TextOr("family-info.own-limits", "");
   if (!max_batches.empty()) {
     for (std::string_view text : Split(max_batches, ',')) {
-      kinds.emplace_back().max_batch = ParseWhole(text);
+      kinds.emplace_back().max_batch = ParseUnsigned(text);
     }
   }
   if (!own_limits.empty()) {
@@ -140,9 +140,9 @@
   if (weights == "rough") settings.weights = WeightMeaning::kApproximateRate;
   settings.over_quota_weight_share =
       line.NumberOr("over-share-worth", settings.over_quota_weight_share);
-  settings.max_concurrent_calls = line.WholeOr("family-info.workers", 0);
-  settings.max_in_flight = line.WholeOr("limits.open-cap", 0);
-  settings.max_attempts = line.WholeOr("limits.max-attempts", 0);
+  settings.max_concurrent_calls = line.UnsignedOr("family-info.workers", 0);
+  settings.max_in_flight = line.UnsignedOr("limits.open-cap", 0);
+  settings.max_attempts = line.UnsignedOr("limits.max-attempts", 0);
   settings.health_checks_allowed = line.FlagOr("limits.probes", false);
   settings.cancel_allowed = line.FlagOr("limits.may-cancel", false);
   settings.clients_honor_retry_after = line.FlagOr("limits.retry-after", false);
@@ -155,7 +155,7 @@
       line.NumberOr("rules.fall-multiple", settings.collapse_load_multiple);
   settings.collapse_window = line.TimeOr("rules.fall", Duration{});
   settings.ordering_cooldown = line.TimeOr("rules.settle-after-doubt", Duration{});
-  settings.group_size = line.WholeOr("group-size", 1);
+  settings.group_size = line.UnsignedOr("group-size", 1);
   return settings;
 }
 
@@ -166,7 +166,7 @@
 }
 
 SimulatorHost::Instance& SimulatorHost::FindInstance(const Line& line) {
-  const auto it = instances_.find(line.Whole("who"));
+  const auto it = instances_.find(line.Unsigned("who"));
   if (it == instances_.end()) {
     throw WireError("no such instance: " + std::string(line.Text("who")));
   }
@@ -200,9 +200,9 @@
   if (line.name() != "ROW") throw WireError("not a ROW");
   EndpointRow row;
   row.endpoint = line.Text("endpoint");
-  row.entry.destination = line.Whole("dest");
-  row.entry.kind = line.WholeOr("sku", 0);
-  row.entry.zone = line.WholeOr("hall", 0);
+  row.entry.destination = line.Unsigned("dest");
+  row.entry.kind = line.UnsignedOr("sku", 0);
+  row.entry.zone = line.UnsignedOr("hall", 0);
   row.entry.state = ParseState(line.TextOr("lifecycle", "Running"));
   row.entry.weight = line.NumberOr("rating", 1);
   endpoint_pages_[page_].push_back(std::move(row));
@@ -210,23 +210,23 @@
 }
 
 void SimulatorHost::RegisterPage(const Line& line) {
-  page_ = line.Whole("page");
+  page_ = line.Unsigned("page");
   if (page_ >= endpoint_pages_.size()) {
     throw WireError("a page out of range: " + std::to_string(page_));
   }
   endpoint_pages_[page_].clear();
-  rows_expected_ = line.Whole("rows-in");
+  rows_expected_ = line.Unsigned("rows-in");
 }
 
 void SimulatorHost::StartInstance(const Line& line) {
   Instance instance;
-  instance.policy = std::make_unique<DispatchPolicy>(ParseSettings(line), line.Whole("seed"));
-  instances_.insert_or_assign(line.Whole("who"), std::move(instance));
+  instance.policy = std::make_unique<DispatchPolicy>(ParseSettings(line), line.Unsigned("seed"));
+  instances_.insert_or_assign(line.Unsigned("who"), std::move(instance));
 }
 
 void SimulatorHost::AddEndpointList(Instance& instance, const Line& line) {
   EndpointList list;
-  list.version = line.WholeOr("stamp", 0);
+  list.version = line.UnsignedOr("stamp", 0);
   const std::string_view form = line.Text("form");
   if (form == "broken") {
     list.form = ListForm::kFailed;
@@ -238,7 +238,7 @@
     throw WireError("unknown form: '" + std::string(form) + "'");
   }
   if (list.form != ListForm::kFailed) {
-    const std::uint64_t page = line.Whole("page");
+    const std::uint64_t page = line.Unsigned("page");
     if (page >= endpoint_pages_.size()) {
       throw WireError("a page out of range: " + std::to_string(page));
     }
@@ -253,9 +253,9 @@
 MessageArrived SimulatorHost::ParseArrival(Instance& instance, const Line& line) {
   MessageArrived event;
   event.message = instance.messages.FindOrAddId(line.Text("call"));
-  event.destination = line.Whole("terminates-at");
-  event.message_class = line.WholeOr("band", 0);
-  event.tenant = line.WholeOr("org", 0);
+  event.destination = line.Unsigned("terminates-at");
+  event.message_class = line.UnsignedOr("band", 0);
+  event.tenant = line.UnsignedOr("org", 0);
   event.time_left = line.Time("patience-left");
   event.key = line.TextOr("subject", "");
   return event;
@@ -264,13 +264,13 @@
 AttemptCompleted SimulatorHost::ParseCompletion(Instance& instance, const Line& line) {
   AttemptCompleted event;
   event.message = instance.messages.FindOrAddId(line.Text("call"));
-  event.attempt = line.Whole("hop");
+  event.attempt = line.Unsigned("hop");
   event.endpoint = instance.endpoints.FindOrAddId(line.Text("endpoint"));
-  event.outcome = ParseOutcome(line.Whole("reason"));
+  event.outcome = ParseOutcome(line.Unsigned("reason"));
   event.elapsed = line.TimeOr("duration", Duration{});
   event.finished = line.FlagOr("over", false);
   if (event.outcome == Outcome::kRejected) {
-    event.retry_after = std::chrono::milliseconds(line.WholeOr("hold-ms", 0));
+    event.retry_after = std::chrono::milliseconds(line.UnsignedOr("hold-ms", 0));
   }
   event.report = ParseReport(line.TextOr("pressure", ""));
   return event;
@@ -279,7 +279,7 @@
 HealthCheckCompleted SimulatorHost::ParseHealthCheck(Instance& instance, const Line& line) {
   HealthCheckCompleted event;
   event.endpoint = instance.endpoints.FindOrAddId(line.Text("endpoint"));
-  event.outcome = ParseOutcome(line.Whole("reason"));
+  event.outcome = ParseOutcome(line.Unsigned("reason"));
   event.elapsed = line.TimeOr("duration", Duration{});
   event.report = ParseReport(line.TextOr("pressure", ""));
   return event;
@@ -291,7 +291,7 @@
   if (name == "START") return StartInstance(line);
   Instance& instance = FindInstance(line);
   if (name == "EXIT") {
-    instances_.erase(line.Whole("who"));
+    instances_.erase(line.Unsigned("who"));
   } else if (name == "DISCOVERY") {
     AddEndpointList(instance, line);
   } else if (name == "REQUEST") {
@@ -302,7 +302,7 @@
     instance.events.emplace_back(
         MessageCancelled{instance.messages.FindOrAddId(line.Text("call"))});
   } else if (name == "TIMER") {
-    instance.events.emplace_back(TimerFired{line.Whole("key-back")});
+    instance.events.emplace_back(TimerFired{line.Unsigned("key-back")});
   } else if (name == "HEALTH_RESULT") {
     instance.events.emplace_back(ParseHealthCheck(instance, line));
   } else if (name != "FIRST_BYTE" && name != "DATAGRAM") {  // the policy uses neither
--- a/adapter/simulator_wire.cpp
+++ b/adapter/simulator_wire.cpp
@@ -10,7 +10,7 @@
 std::string Quoted(std::string_view text) { return "'" + std::string(text) + "'"; }
 
 template <typename T>
-T ParseAll(std::string_view text, const char* what) {
+T ParseEntireText(std::string_view text, const char* what) {
   T value{};
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error == std::errc::result_out_of_range) {
@@ -34,12 +34,12 @@
   }
 }
 
-std::uint64_t ParseWhole(std::string_view text) {
-  return ParseAll<std::uint64_t>(text, "a whole number");
+std::uint64_t ParseUnsigned(std::string_view text) {
+  return ParseEntireText<std::uint64_t>(text, "a whole number");
 }
 
 double ParseNumber(std::string_view text) {
-  const auto value = ParseAll<double>(text, "a number");
+  const auto value = ParseEntireText<double>(text, "a number");
   if (!std::isfinite(value)) throw WireError("a number out of range: " + Quoted(text));
   return value;
 }
@@ -77,32 +77,32 @@
   throw WireError("no " + std::string(field));
 }
 
-std::string_view Line::TextOr(std::string_view field, std::string_view absent) const {
-  return Has(field) ? Text(field) : absent;
+std::string_view Line::TextOr(std::string_view field, std::string_view default_value) const {
+  return Has(field) ? Text(field) : default_value;
 }
 
-std::uint64_t Line::Whole(std::string_view field) const { return ParseWhole(Text(field)); }
+std::uint64_t Line::Unsigned(std::string_view field) const { return ParseUnsigned(Text(field)); }
 
-std::uint64_t Line::WholeOr(std::string_view field, std::uint64_t absent) const {
-  return Has(field) ? Whole(field) : absent;
+std::uint64_t Line::UnsignedOr(std::string_view field, std::uint64_t default_value) const {
+  return Has(field) ? Unsigned(field) : default_value;
 }
 
-double Line::NumberOr(std::string_view field, double absent) const {
-  return Has(field) ? ParseNumber(Text(field)) : absent;
+double Line::NumberOr(std::string_view field, double default_value) const {
+  return Has(field) ? ParseNumber(Text(field)) : default_value;
 }
 
-bool Line::FlagOr(std::string_view field, bool absent) const {
-  return Has(field) ? ParseFlag(Text(field)) : absent;
+bool Line::FlagOr(std::string_view field, bool default_value) const {
+  return Has(field) ? ParseFlag(Text(field)) : default_value;
 }
 
 std::chrono::nanoseconds Line::Time(std::string_view field) const {
-  const auto value = ParseAll<std::int64_t>(Text(field), "a time");
+  const auto value = ParseEntireText<std::int64_t>(Text(field), "a time");
   return std::chrono::nanoseconds(value);
 }
 
 std::chrono::nanoseconds Line::TimeOr(std::string_view field,
-                                      std::chrono::nanoseconds absent) const {
-  return Has(field) ? Time(field) : absent;
+                                      std::chrono::nanoseconds default_value) const {
+  return Has(field) ? Time(field) : default_value;
 }
 
 }  // namespace dispatch_policy::simulator
--- a/adapter/simulator_wire.hpp
+++ b/adapter/simulator_wire.hpp
@@ -37,17 +37,18 @@
 
   // The following functions return the value of the first field with that name. They throw
   // WireError if the field is missing or its text does not have the right form; the functions with
-  // the parameter `absent` return it if the field is missing.
+  // the parameter `default_value` return it if the field is missing.
   [[nodiscard]] std::string_view Text(std::string_view field) const;
-  [[nodiscard]] std::string_view TextOr(std::string_view field, std::string_view absent) const;
-  [[nodiscard]] std::uint64_t Whole(std::string_view field) const;
-  [[nodiscard]] std::uint64_t WholeOr(std::string_view field, std::uint64_t absent) const;
-  [[nodiscard]] double NumberOr(std::string_view field, double absent) const;
-  [[nodiscard]] bool FlagOr(std::string_view field, bool absent) const;
+  [[nodiscard]] std::string_view TextOr(std::string_view field,
+                                        std::string_view default_value) const;
+  [[nodiscard]] std::uint64_t Unsigned(std::string_view field) const;
+  [[nodiscard]] std::uint64_t UnsignedOr(std::string_view field, std::uint64_t default_value) const;
+  [[nodiscard]] double NumberOr(std::string_view field, double default_value) const;
+  [[nodiscard]] bool FlagOr(std::string_view field, bool default_value) const;
   // Times are whole nanoseconds on the wire.
   [[nodiscard]] std::chrono::nanoseconds Time(std::string_view field) const;
   [[nodiscard]] std::chrono::nanoseconds TimeOr(std::string_view field,
-                                                std::chrono::nanoseconds absent) const;
+                                                std::chrono::nanoseconds default_value) const;
 
  private:
   std::string_view name_;
@@ -56,7 +57,7 @@
 
 // Each parses the entire text, and throws WireError if the text does not have the right form or the
 // value is out of range.
-std::uint64_t ParseWhole(std::string_view text);
+std::uint64_t ParseUnsigned(std::string_view text);
 double ParseNumber(std::string_view text);
 bool ParseFlag(std::string_view text);
 
--- a/src/policy/circuit_breaker.cpp
+++ b/src/policy/circuit_breaker.cpp
@@ -18,10 +18,10 @@
 constexpr Duration kMinOutage = std::chrono::seconds(3);
 // Share of the capacity of a destination that is warming up; the rest is a margin for errors.
 constexpr double kRecoveryBudgetShare = 0.6;
-constexpr double kLatencyGain = 0.15;         // weight of the latest latency
-constexpr double kLossGain = 0.1;             // weight of the latest answer in the loss share
-constexpr double kLossyNetworkShare = 0.08;   // share of answers that follow lost calls
-constexpr std::size_t kBindingWitnesses = 2;  // number of dispatchers; a single one may be wrong
+constexpr double kLatencyGain = 0.15;            // weight of the latest latency
+constexpr double kLossGain = 0.1;                // weight of the latest answer in the loss share
+constexpr double kLossyNetworkShare = 0.08;      // share of answers that follow lost calls
+constexpr std::size_t kConfirmingWitnesses = 2;  // number of dispatchers; a single one may be wrong
 
 const char* ToString(Health health) {
   constexpr std::array kNames = {"closed", "open", "recovering"};
@@ -35,14 +35,14 @@
   registry_.MarkChanged(endpoint);
   scope.wait_until = std::max(scope.wait_until, now_ + event.retry_after);
   if (event.retry_after > context_.max_deadline) {
-    context_.Do(LogMessage{"endpoint " + std::to_string(attempt.endpoint) + " told a wait of " +
-                           std::to_string(ToSeconds(event.retry_after)) +
-                           " s, past every deadline"});
+    context_.AddAction(
+        LogMessage{"endpoint " + std::to_string(attempt.endpoint) + " told a wait of " +
+                   std::to_string(ToSeconds(event.retry_after)) + " s, past every deadline"});
   }
   rate_limiter_.ApplyLoadReport(scope, event.report);
   const Outcome outcome = event.outcome;
-  const bool tells = outcome != Outcome::kCancelled && outcome != Outcome::kNotSent;
-  if (tells && !std::exchange(call.outcome_recorded, true)) {
+  const bool concerns_endpoint = outcome != Outcome::kCancelled && outcome != Outcome::kNotSent;
+  if (concerns_endpoint && !std::exchange(call.outcome_recorded, true)) {
     RecordOutcome(endpoint, outcome, call, event.elapsed, event.retry_after);
   }
   if (--call.messages_in_flight == 0) concurrency_.EndCall(endpoint, call);
@@ -50,7 +50,7 @@
 
 void CircuitBreaker::CompleteHealthCheck(const HealthCheckCompleted& event) {
   Endpoint* endpoint = registry_.FindEndpoint(event.endpoint);
-  if (endpoint == nullptr || !std::exchange(endpoint->checking, false)) return;
+  if (endpoint == nullptr || !std::exchange(endpoint->health_check_in_flight, false)) return;
   registry_.MarkChanged(*endpoint);
   rate_limiter_.ApplyLoadReport(registry_.FindScope(*endpoint), event.report);
   const Call check{.sent = now_ - event.elapsed, .message_class = SIZE_MAX};
@@ -63,14 +63,15 @@
   if (endpoint == nullptr || endpoint->last_answer > now_ - report.age) return;
   registry_.MarkChanged(*endpoint);
   RateLimitScope& scope = registry_.FindScope(*endpoint);
-  const bool binding = report.witnesses >= kBindingWitnesses;
+  const bool confirmed = report.witnesses >= kConfirmingWitnesses;
   if (report.health == PeerHealth::kBeingTested) {
-    scope.next_trial = std::max(scope.next_trial, now_ + std::min(report.duration, kMaxLimitSpan));
+    scope.next_trial =
+        std::max(scope.next_trial, now_ + std::min(report.duration, kMaxRateLimitWindow));
   } else if (report.health == PeerHealth::kServing) {
     if (endpoint->health != Health::kOpen) return;
-    if (binding) TransitionTo(*endpoint, Health::kRecovering);
+    if (confirmed) TransitionTo(*endpoint, Health::kRecovering);
     scope.next_trial = std::min(scope.next_trial, now_ + context_.AddJitter(kRejectionPause));
-  } else if (!binding) {
+  } else if (!confirmed) {
     if (endpoint->failures > 0) return;
     endpoint->failures = 1;
     endpoint->first_failure = now_;
@@ -110,9 +111,9 @@
   endpoint.health_since = now_;
   const Duration interval = context_.AddJitter(TrialInterval(endpoint));
   scope.next_trial = std::max(scope.next_trial, now_ + interval);
-  context_.Do(LogMessage{"breaker " + std::string(ToString(health)) + " destination " +
-                         std::to_string(endpoint.entry.destination) + " endpoint " +
-                         std::to_string(endpoint.entry.endpoint)});
+  context_.AddAction(LogMessage{"breaker " + std::string(ToString(health)) + " destination " +
+                                std::to_string(endpoint.entry.destination) + " endpoint " +
+                                std::to_string(endpoint.entry.endpoint)});
 }
 
 bool CircuitBreaker::HasConnectionCapacity(const Endpoint& endpoint) const {
@@ -160,9 +161,9 @@
   std::vector<double>& by_class = endpoint.class_failures;
   if (call.message_class < by_class.size()) by_class[call.message_class] /= 2;
   endpoint.failures = 0;
-  const bool closed = endpoint.closed_by_endpoint;
-  if (endpoint.health != Health::kOpen || (closed && call.sent < endpoint.health_since)) return;
-  TransitionTo(endpoint, outage || closed ? Health::kRecovering : Health::kClosed);
+  const bool rejecting = endpoint.closed_by_endpoint;
+  if (endpoint.health != Health::kOpen || (rejecting && call.sent < endpoint.health_since)) return;
+  TransitionTo(endpoint, outage || rejecting ? Health::kRecovering : Health::kClosed);
 }
 
 void CircuitBreaker::RecordFailure(Endpoint& endpoint, const Call& call, bool connect_failed) {
@@ -177,16 +178,16 @@
   if (index < by_class.size()) by_class[index] += (1 - by_class[index]) / 2;
   endpoint.failure_share += kFailureGain * (1 - endpoint.failure_share);
   const Time last_answer = registry_.DestinationAt(endpoint.entry.destination).last_answer;
-  const bool silent = now_ - last_answer > kMessageRateMemory;
-  const bool outage = silent || endpoint.failure_share > kOutageFailureShare;
+  const bool no_recent_answer = now_ - last_answer > kMessageRateTimeConstant;
+  const bool outage = no_recent_answer || endpoint.failure_share > kOutageFailureShare;
   if (outage && endpoint.health != Health::kOpen) TransitionTo(endpoint, Health::kOpen);
 }
 
 void CircuitBreaker::OpenIfRejectingLong(Endpoint& endpoint, RateLimitScope& scope,
                                          Duration retry_after) {
   const bool many = scope.rejections > kMaxRejections;
-  const bool lasting = many && now_ - scope.first_rejection > kMaxLimitSpan;
-  if (retry_after <= kMaxLimitSpan && !lasting) return;
+  const bool lasting = many && now_ - scope.first_rejection > kMaxRateLimitWindow;
+  if (retry_after <= kMaxRateLimitWindow && !lasting) return;
   for (EndpointId id : registry_.DestinationAt(endpoint.entry.destination).endpoints) {
     Endpoint& other = registry_.EndpointAt(id);
     if (&registry_.FindScope(other) != &scope) continue;
--- a/src/policy/circuit_breaker.hpp
+++ b/src/policy/circuit_breaker.hpp
@@ -78,9 +78,9 @@
   // that does not show that the endpoint is back.
   void RecordSuccess(Endpoint& endpoint, const Call& call);
 
-  // Opens the breaker if all calls were rejected for longer than kMaxLimitSpan, or on a Retry-After
-  // that is longer than this: the endpoint will be warming up when it is back, and cannot take the
-  // previous rate.
+  // Opens the breaker if all calls were rejected for longer than kMaxRateLimitWindow, or on a
+  // Retry-After that is longer than this: the endpoint will be warming up when it is back, and
+  // cannot take the previous rate.
   void OpenIfRejectingLong(Endpoint& endpoint, RateLimitScope& scope, Duration retry_after);
 
   // Records that the endpoint's connection limit is reached. This instance then uses no more than
--- a/src/policy/condition_transfer.cpp
+++ b/src/policy/condition_transfer.cpp
@@ -31,10 +31,10 @@
   RateLimitCondition& own_limit = endpoint->own_scope;
   own_limit = Sanitized(event.own_limit, own_limit);
   if (condition.health == Health::kClosed) return;
-  context_.Do(LogMessage{"breaker " + std::string(ToString(condition.health)) +
-                         " as an earlier process left it, destination " +
-                         std::to_string(endpoint->entry.destination) + " endpoint " +
-                         std::to_string(event.endpoint)});
+  context_.AddAction(LogMessage{"breaker " + std::string(ToString(condition.health)) +
+                                " as an earlier process left it, destination " +
+                                std::to_string(endpoint->entry.destination) + " endpoint " +
+                                std::to_string(event.endpoint)});
 }
 
 void ConditionTransfer::Restore(const DestinationConditionRestored& event) {
--- a/src/policy/decision_context.hpp
+++ b/src/policy/decision_context.hpp
@@ -25,8 +25,8 @@
   void Begin(Time at);
 
   // Adds an action to this decision.
-  template <typename OneAction>
-  void Do(OneAction action) {
+  template <typename ActionType>
+  void AddAction(ActionType action) {
     actions.emplace_back(std::move(action));
   }
 
--- a/src/policy/endpoint_registry.hpp
+++ b/src/policy/endpoint_registry.hpp
@@ -17,9 +17,9 @@
 
 // Minimum time constant of arrival and send rates: longer than bursts of messages and than the
 // windows of rate limits.
-extern const Seconds kMessageRateMemory;
+extern const Seconds kMessageRateTimeConstant;
 // Time constant of the rates of accepted calls: the window of a rate limit is 1 to 2 seconds.
-extern const Seconds kCallRateMemory;
+extern const Seconds kCallRateTimeConstant;
 
 // Owns all Endpoint and Destination records. References to endpoints are valid until the next
 // ApplyList, references to destinations as long as the registry.
--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -51,7 +51,7 @@
     std::erase(destination.waiting, message->id);
     message->attempts.push_back({id, now_, call.id, true, false});
     const Duration timeout = retries_.AttemptTimeout(*message, endpoint);
-    context_.Do(SendAttempt{message->id, id, timeout, ledger_.LatestStart(*message)});
+    context_.AddAction(SendAttempt{message->id, id, timeout, ledger_.LatestStart(*message)});
     if (call.messages_in_flight == registry_.MaxBatch(endpoint)) break;
     message = BestMessage(destination, &endpoint, expiring).message;
   }
@@ -68,9 +68,9 @@
       return MayBeTrialCall(ledger_.MessageAt(message), *endpoint);
     };
     if (std::any_of(destination.waiting.begin(), destination.waiting.end(), may_be_trial)) continue;
-    endpoint->checking = true;
+    endpoint->health_check_in_flight = true;
     breaker_.RecordCall(*endpoint);
-    context_.Do(StartHealthCheck{endpoint->entry.endpoint});
+    context_.AddAction(StartHealthCheck{endpoint->entry.endpoint});
   }
 }
 
@@ -116,7 +116,8 @@
   if (std::max(scope.wait_until, scope.next_call) > now_) return false;
   if (endpoint.failures > 0 && endpoint.calls_not_overdue > 0) return false;
   if (!concurrency_.WithinUnhealthyShare(endpoint)) return false;
-  return endpoint.health == Health::kClosed || (scope.next_trial <= now_ && !endpoint.checking);
+  return endpoint.health == Health::kClosed ||
+         (scope.next_trial <= now_ && !endpoint.health_check_in_flight);
 }
 
 bool EndpointSelector::CanSend(const Message& message, const Endpoint& endpoint) const {
@@ -137,8 +138,8 @@
 }
 
 double EndpointSelector::ExpectedCost(const Endpoint& endpoint, std::size_t message_class) const {
-  const double first_guess = ToSeconds(context_.min_objective) / 10;
-  const double latency = endpoint.latency > 0 ? endpoint.latency : first_guess;
+  const double default_latency = ToSeconds(context_.min_objective) / 10;
+  const double latency = endpoint.latency > 0 ? endpoint.latency : default_latency;
   const std::vector<double>& by_class = endpoint.class_failures;
   const bool class_is_known = message_class < by_class.size();
   const double failure = class_is_known ? by_class[message_class] : endpoint.failure_share;
@@ -157,10 +158,10 @@
   const ClassSettings& settings = ledger_.ClassOf(message);
   const Duration wait = settings.latency_objective / 2;
   const Duration age = now_ - message.first_submitted;
-  const double value = WeightShareAt(settings, age, settings_.decay);
+  const double share_now = WeightShareAt(settings, age, settings_.decay);
   const bool too_late = message.deadline - now_ <= wait;
-  const double later = too_late ? 0 : WeightShareAt(settings, age + wait, settings_.decay);
-  return settings.priority_weight * (value - later + kMinUrgency * value);
+  const double share_later = too_late ? 0 : WeightShareAt(settings, age + wait, settings_.decay);
+  return settings.priority_weight * (share_now - share_later + kMinUrgency * share_now);
 }
 
 bool EndpointSelector::ExpiresBeforeAnswer(const Message& message, const Endpoint& endpoint) const {
--- a/src/policy/endpoint_selector.hpp
+++ b/src/policy/endpoint_selector.hpp
@@ -51,8 +51,8 @@
   void SendHealthChecks();
 
   // Returns the most urgent message that can be sent to an endpoint of the destination; an empty
-  // candidate if there is none. If `joined` is given, the message is for a call to that endpoint
-  // that has already begun, and `expiring` is ExpiresBeforeAnswer of its first message.
+  // candidate if there is none. If `joined` is given, the message is for a call to that
+  // endpoint that has already begun, and `expiring` is ExpiresBeforeAnswer of its first message.
   Candidate BestMessage(Destination& destination, Endpoint* joined = nullptr,
                         bool expiring = false);
 
--- a/src/policy/limits.cpp
+++ b/src/policy/limits.cpp
@@ -147,12 +147,12 @@
 }
 
 const Duration kRejectionPause = std::chrono::milliseconds(300);
-const Duration kMaxLimitSpan = std::chrono::seconds(2);
+const Duration kMaxRateLimitWindow = std::chrono::seconds(2);
 const int kMaxBackoffDoublings = 3;
 const double kBatchingShare = 0.4;
 
 constexpr double kRejectionBackoff = 0.85;  // factor of the accepted rate after a rejection
-// Growth of a learned rate; increases with each kMaxLimitSpan without a rejection.
+// Growth of a learned rate; increases with each kMaxRateLimitWindow without a rejection.
 constexpr double kRecoveryPerSecond = 0.15;
 constexpr double kLowAllowance = 0.3;      // remaining share of the limit; below, no rate grows
 constexpr double kAssumedLimit = 3;        // calls per second of all dispatchers, if unknown
@@ -160,24 +160,24 @@
 constexpr std::size_t kLargeGroup = 10;    // dispatchers; each one's calls are a small part of all
 
 // Rates of instances that call rarely.
-constexpr double kMinCallsToLearnRate = 6;  // in kCallRateMemory; fewer do not show a limit
+constexpr double kMinCallsToLearnRate = 6;  // in kCallRateTimeConstant; fewer do not show a limit
 constexpr double kUsableEvenShare = 0.8;    // of the even share of the limit, after a rejection
 constexpr double kRareCallerBackoff = 0.5;  // factor of the rate for each further rejection
 constexpr double kMinUsableShare = 0.4;     // minimum rate, as a share of the usable even share
 
 // Pause after a rejection, in mean intervals between own calls; doubles with each rejection.
 constexpr double kPauseInCallIntervals = 0.6;
-constexpr double kMinLeasedRate = 0.05;  // calls per second; one call in 20 s
-constexpr double kWholeMemories = 8;     // time constants after which older events are negligible
+constexpr double kMinLeasedRate = 0.05;          // calls per second; one call in 20 s
+constexpr double kFullHistoryTimeConstants = 8;  // after this, older events are negligible
 
 void RateEstimator::Add(Time now) {
-  value_ = value_ * Weight(now - last_) + 1 / memory_;
+  value_ = value_ * Weight(now - last_) + 1 / time_constant_;
   last_ = now;
 }
 
 void RateEstimator::Resume(double rate, Time now) {
   value_ = rate;
-  first_ = now - FromSeconds(kWholeMemories * memory_);
+  first_ = now - FromSeconds(kFullHistoryTimeConstants * time_constant_);
   last_ = now;
 }
 
@@ -187,7 +187,9 @@
   return value_ * Weight(now - last_) / (1 - Weight(seen));
 }
 
-double RateEstimator::Weight(Duration age) const { return std::exp(-ToSeconds(age) / memory_); }
+double RateEstimator::Weight(Duration age) const {
+  return std::exp(-ToSeconds(age) / time_constant_);
+}
 
 void RateLimiter::ApplyQuotaLease(const QuotaLeased& event) {
   Endpoint* endpoint = registry_.FindEndpoint(event.endpoint);
@@ -216,8 +218,8 @@
   const bool allowance_low = scope.allowance_left && *scope.allowance_left < kLowAllowance;
   if (scope.rate <= 0 || allowance_low) return;
   const double elapsed = std::min(1.0, ToSeconds(now_ - scope.rate_changed));
-  const double spans = ToSeconds(now_ - scope.last_rejection) / ToSeconds(kMaxLimitSpan);
-  scope.rate *= 1 + std::min(1.0, kRecoveryPerSecond * (1 + spans)) * elapsed;
+  const double windows = ToSeconds(now_ - scope.last_rejection) / ToSeconds(kMaxRateLimitWindow);
+  scope.rate *= 1 + std::min(1.0, kRecoveryPerSecond * (1 + windows)) * elapsed;
   scope.rate_changed = now_;
   if (!scope.from_even_share) return;
   scope.rate = std::max(scope.rate, UsableEvenShare(scope));
@@ -248,17 +250,18 @@
 
 void RateLimiter::LimitToAcceptedRate(RateLimitScope& scope, double local_share) {
   const double accepted = scope.accepted_calls.Rate(now_);
-  const double last = scope.rate > 0 ? scope.rate : 2 * std::max(accepted, local_share);
-  scope.rate = std::max(kMinShareOfDemand * local_share,
-                        kRejectionBackoff * std::min(last, std::max(accepted, last / 2)));
+  const double previous_rate = scope.rate > 0 ? scope.rate : 2 * std::max(accepted, local_share);
+  scope.rate =
+      std::max(kMinShareOfDemand * local_share,
+               kRejectionBackoff * std::min(previous_rate, std::max(accepted, previous_rate / 2)));
   scope.from_even_share = false;
   scope.rate_changed = now_;
 }
 
 void RateLimiter::LimitRareCaller(RateLimitScope& scope, double local_share) {
   const double share = scope.limit > 0 ? UsableEvenShare(scope) : local_share;
-  const double last = scope.from_even_share ? kRareCallerBackoff * scope.rate : share;
-  scope.rate = std::max(kMinUsableShare * share, std::min(last, share));
+  const double previous_rate = scope.from_even_share ? kRareCallerBackoff * scope.rate : share;
+  scope.rate = std::max(kMinUsableShare * share, std::min(previous_rate, share));
   scope.from_even_share = true;
   scope.rate_changed = now_;
 }
@@ -279,7 +282,7 @@
 bool RateLimiter::GroupIsLarge() const { return settings_.group_size >= kLargeGroup; }
 
 bool RateLimiter::CallsRarely(double local_share) const {
-  return GroupIsLarge() && local_share * kCallRateMemory.count() < kMinCallsToLearnRate;
+  return GroupIsLarge() && local_share * kCallRateTimeConstant.count() < kMinCallsToLearnRate;
 }
 
 }  // namespace dispatch_policy
--- a/src/policy/message_ledger.cpp
+++ b/src/policy/message_ledger.cpp
@@ -10,22 +10,22 @@
   if (messages_.count(event.message) != 0) return;
   const std::size_t index = event.message_class;  // out of range: assume that nothing is safe
   if (index >= settings_.classes.size()) {
-    return context_.Do(RejectMessage{event.message, {}, GiveUpReason::kUnknownClass});
+    return context_.AddAction(RejectMessage{event.message, {}, GiveUpReason::kUnknownClass});
   }
   const Duration class_deadline = settings_.classes[index].deadline;
   Message message(event.message, index, now_, event.time_left, class_deadline);
   Destination& destination = registry_.FindOrAddDestination(event.destination);
   destination.arrivals.Add(now_);
   if (gate_.Admit(destination)) return Enqueue(std::move(message), event.destination, event.key);
-  context_.Do(RejectMessage{message.id, gate_.RetryAfter(destination, message),
-                            GiveUpReason::kNotAdmitted});
+  context_.AddAction(RejectMessage{message.id, gate_.RetryAfter(destination, message),
+                                   GiveUpReason::kNotAdmitted});
 }
 
 void MessageLedger::RestoreMessage(const MessageRestored& event) {
   if (messages_.count(event.message) != 0) return;
   const std::size_t index = event.message_class;  // out of range: assume that nothing is safe
   if (index >= settings_.classes.size()) {
-    return context_.Do(FailMessage{event.message, GiveUpReason::kUnknownClass});
+    return context_.AddAction(FailMessage{event.message, GiveUpReason::kUnknownClass});
   }
   const Duration class_deadline = settings_.classes[index].deadline;
   Message message(event.message, index, now_, event.time_left, class_deadline);
@@ -70,9 +70,9 @@
   CancelAttempts(message);
   const Destination& destination = registry_.DestinationAt(message.destination);
   if (SafeToResubmit(message)) {
-    context_.Do(RejectMessage{message.id, gate_.RetryAfter(destination, message), reason});
+    context_.AddAction(RejectMessage{message.id, gate_.RetryAfter(destination, message), reason});
   } else {
-    context_.Do(FailMessage{message.id, reason});
+    context_.AddAction(FailMessage{message.id, reason});
   }
   Finish(message);
 }
@@ -95,7 +95,7 @@
   for (std::size_t i = 0; i < message.attempts.size(); ++i) {
     Attempt& attempt = message.attempts[i];
     if (!attempt.in_flight || std::exchange(attempt.cancelled, true)) continue;
-    context_.Do(CancelAttempt{message.id, i});
+    context_.AddAction(CancelAttempt{message.id, i});
   }
 }
 
@@ -182,12 +182,12 @@
   for (auto it = ledger_.messages().begin(); it != ledger_.messages().end();) {
     Message& message = it++->second;  // giving the message up may erase it
     if (message.finished) continue;
-    const Time last = message.deadline - settings_.decision_interval;
+    const Time give_up_at = message.deadline - settings_.decision_interval;
     const bool idle = message.attempts_in_flight == 0;
-    const bool waits_past = idle && AllEndpointsWaitPast(message.destination, last);
-    if (now_ >= last) {
+    const bool all_unavailable = idle && AllEndpointsWaitPast(message.destination, give_up_at);
+    if (now_ >= give_up_at) {
       ledger_.GiveUp(message, GiveUpReason::kDeadline);
-    } else if (waits_past) {
+    } else if (all_unavailable) {
       ledger_.GiveUp(message, GiveUpReason::kEndpointsUnavailable);
     } else if (idle && ledger_.DedupWindowExpired(message)) {
       ledger_.GiveUp(message, GiveUpReason::kDedupWindowExpired);
@@ -228,7 +228,7 @@
   }
   if (next == Time::max() || (wake_at_ > now_ && wake_at_ <= next)) return;
   wake_at_ = next;
-  context_.Do(SetTimer{0, next});
+  context_.AddAction(SetTimer{0, next});
 }
 
 Duration RetryScheduler::AttemptTimeout(const Message& message, const Endpoint& endpoint) const {
@@ -263,8 +263,8 @@
 void RetryScheduler::ReviewAttempt(Message& message) {
   const Attempt& attempt = message.attempts.back();
   Endpoint& endpoint = registry_.EndpointAt(attempt.endpoint);
-  const Duration limit = OverdueAfter(endpoint);
-  if (now_ - attempt.sent < limit) return;
+  const Duration overdue_after = OverdueAfter(endpoint);
+  if (now_ - attempt.sent < overdue_after) return;
   Call& call = concurrency_.CallAt(attempt.call);
   if (!std::exchange(call.overdue, true)) {
     --endpoint.calls_not_overdue;
@@ -274,17 +274,17 @@
   if (attempt.cancelled || !settings_.cancel_allowed) return;
   const bool repeatable = ledger_.ClassOf(message).effect != Effect::kNotIdempotent;
   const bool lost = endpoint.last_answer > attempt.sent || breaker_.NetworkIsLossy();
-  const bool silent = now_ - attempt.sent >= 2 * limit;
-  const bool slot_is_wanted = concurrency_.SlotsAreScarce(0) && (lost || silent);
-  if (slot_is_wanted || (repeatable && silent)) ledger_.CancelAttempts(message);
+  const bool long_overdue = now_ - attempt.sent >= 2 * overdue_after;
+  const bool slot_is_needed = concurrency_.SlotsAreScarce(0) && (lost || long_overdue);
+  if (slot_is_needed || (repeatable && long_overdue)) ledger_.CancelAttempts(message);
 }
 
-bool RetryScheduler::AllEndpointsWaitPast(DestinationId destination, Time last) {
+bool RetryScheduler::AllEndpointsWaitPast(DestinationId destination, Time time) {
   bool any = false;
   for (EndpointId id : registry_.DestinationAt(destination).endpoints) {
     Endpoint& endpoint = registry_.EndpointAt(id);
     if (endpoint.entry.state != EndpointState::kListed) continue;
-    if (registry_.FindScope(endpoint).wait_until < last) return false;
+    if (registry_.FindScope(endpoint).wait_until < time) return false;
     any = true;
   }
   return any;
--- a/src/policy/policy_state.cpp
+++ b/src/policy/policy_state.cpp
@@ -6,8 +6,8 @@
 
 namespace dispatch_policy {
 
-DecisionContext::DecisionContext(Settings given, std::uint64_t seed)
-    : settings(std::move(given)), random(seed) {
+DecisionContext::DecisionContext(Settings initial_settings, std::uint64_t seed)
+    : settings(std::move(initial_settings)), random(seed) {
   settings.group_size = std::max<std::size_t>(settings.group_size, 1);
   min_deadline = min_objective = Duration::max();
   for (const ClassSettings& message_class : settings.classes) {
@@ -29,14 +29,14 @@
                                     static_cast<double>(random.max()));
 }
 
-const Seconds kMessageRateMemory{10};
-const Seconds kCallRateMemory{3};
+const Seconds kMessageRateTimeConstant{10};
+const Seconds kCallRateTimeConstant{3};
 
 constexpr double kMaxListedRate = 1e6;  // calls per second; a higher rate can only be a mistake
 
 void EndpointRegistry::Subscribe() {
   if (!settings_.subscribe_to_endpoint_list || std::exchange(subscribed_, true)) return;
-  context_.Do(SubscribeToEndpointList{});
+  context_.AddAction(SubscribeToEndpointList{});
 }
 
 void EndpointRegistry::ApplyList(const EndpointList& event) {
@@ -54,7 +54,7 @@
 
 void EndpointRegistry::ApplyEntry(const EndpointEntry& entry) {
   const auto [it, added] =
-      endpoints_.try_emplace(entry.endpoint, entry, kCallRateMemory, *context_.started);
+      endpoints_.try_emplace(entry.endpoint, entry, kCallRateTimeConstant, *context_.started);
   if (added) FindOrAddDestination(entry.destination).endpoints.push_back(entry.endpoint);
   it->second.entry = entry;
   RateLimitScope& scope = FindScope(it->second);
@@ -63,8 +63,9 @@
 }
 
 Destination& EndpointRegistry::FindOrAddDestination(DestinationId id) {
-  const Seconds memory = std::max<Seconds>(kMessageRateMemory, context_.max_deadline);
-  return destinations_.try_emplace(id, memory, kCallRateMemory, *context_.started).first->second;
+  const Seconds time_constant = std::max<Seconds>(kMessageRateTimeConstant, context_.max_deadline);
+  return destinations_.try_emplace(id, time_constant, kCallRateTimeConstant, *context_.started)
+      .first->second;
 }
 
 Endpoint* EndpointRegistry::FindEndpoint(EndpointId id) {
@@ -89,8 +90,9 @@
 
 double EndpointRegistry::ValidListedRate(const EndpointEntry& entry) {
   if (entry.weight >= 0 && entry.weight <= kMaxListedRate) return entry.weight;
-  context_.Do(LogMessage{"endpoint " + std::to_string(entry.endpoint) + " listed at a rate of " +
-                         std::to_string(entry.weight) + " a second, taken for untold"});
+  context_.AddAction(LogMessage{"endpoint " + std::to_string(entry.endpoint) +
+                                " listed at a rate of " + std::to_string(entry.weight) +
+                                " a second, taken for untold"});
   return 0;
 }
 
@@ -105,11 +107,12 @@
     return;
   }
   if (logged) return;
-  context_.Do(LogMessage{"destination " + std::to_string(id) + " has no endpoint that takes work"});
+  context_.AddAction(
+      LogMessage{"destination " + std::to_string(id) + " has no endpoint that takes work"});
 }
 
 void EndpointRegistry::ForgetRemovedEndpoints() {
-  const Duration kept = std::max(context_.max_deadline, settings_.slow_start_duration);
+  const Duration retention = std::max(context_.max_deadline, settings_.slow_start_duration);
   for (auto it = endpoints_.begin(); it != endpoints_.end();) {
     auto& [id, endpoint] = *it;
     std::optional<Time>& removed_at = endpoint.removed_at;
@@ -118,9 +121,10 @@
     } else if (!removed_at) {
       removed_at = now_;
     }
-    const bool gone = removed_at && now_ - *removed_at > kept && endpoint.calls_in_flight == 0;
-    if (gone) std::erase(destinations_.at(endpoint.entry.destination).endpoints, id);
-    it = gone ? endpoints_.erase(it) : std::next(it);
+    const bool expired =
+        removed_at && now_ - *removed_at > retention && endpoint.calls_in_flight == 0;
+    if (expired) std::erase(destinations_.at(endpoint.entry.destination).endpoints, id);
+    it = expired ? endpoints_.erase(it) : std::next(it);
   }
 }
 
--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -73,7 +73,7 @@
 // State of what shares one rate limit, one Retry-After and one trial call: a destination, or an
 // endpoint with its own limit.
 struct RateLimitScope : RateLimitCondition {
-  RateLimitScope(Seconds memory, Time start) : accepted_calls(memory, start) {}
+  RateLimitScope(Seconds time_constant, Time start) : accepted_calls(time_constant, start) {}
 
   std::optional<double> allowance_left;  // remaining share of the reported limit, 0 to 1
   std::optional<double> leased_rate;     // for this dispatcher, calls per second; nullopt: no lease
@@ -82,8 +82,8 @@
 
 // An endpoint, listed or removed, and its observed condition.
 struct Endpoint : EndpointCondition {
-  Endpoint(EndpointEntry listed, Seconds call_rate_memory, Time start)
-      : entry(listed), own_scope(call_rate_memory, start) {}
+  Endpoint(EndpointEntry listed, Seconds call_rate_time_constant, Time start)
+      : entry(listed), own_scope(call_rate_time_constant, start) {}
 
   EndpointEntry entry;
   std::vector<double> class_failures;  // failure share of each message class; empty: no failure yet
@@ -92,17 +92,17 @@
   double deviation = 0;                // mean deviation of the latency, seconds
   int calls_in_flight = 0;
   int calls_not_overdue = 0;  // calls in flight that are not overdue
-  bool checking = false;      // a health check is in progress
+  bool health_check_in_flight = false;
   std::optional<Time> removed_at;
   RateLimitScope own_scope;  // used if the endpoint has its own limit
 };
 
 // A destination: a set of endpoints that are equivalent for clients.
 struct Destination {
-  Destination(Seconds message_rate_memory, Seconds call_rate_memory, Time start)
-      : scope(call_rate_memory, start),
-        arrivals(message_rate_memory, start),
-        sends(message_rate_memory, start) {}
+  Destination(Seconds message_rate_time_constant, Seconds call_rate_time_constant, Time start)
+      : scope(call_rate_time_constant, start),
+        arrivals(message_rate_time_constant, start),
+        sends(message_rate_time_constant, start) {}
 
   std::vector<EndpointId> endpoints;
   std::vector<MessageId> waiting;  // messages that are not in flight, in order of acceptance
--- a/src/policy/rate_estimator.hpp
+++ b/src/policy/rate_estimator.hpp
@@ -11,9 +11,10 @@
 // rates of all dispatchers add up to that of the group.
 class RateEstimator {
  public:
-  // `memory` is the time constant of the weights, above 0. `first` is the earliest time at which
-  // events can be observed.
-  RateEstimator(Seconds memory, Time first) : memory_(memory.count()), first_(first) {}
+  // `time_constant` is the time constant of the weights, above 0. `first` is the earliest time at
+  // which events can be observed.
+  RateEstimator(Seconds time_constant, Time first)
+      : time_constant_(time_constant.count()), first_(first) {}
 
   // Counts one event. `now` must not decrease from call to call.
   void Add(Time now);
@@ -28,7 +29,7 @@
   // Returns the weight, 0 to 1, of an event that was observed `age` ago.
   [[nodiscard]] double Weight(Duration age) const;
 
-  double memory_;
+  double time_constant_;
   double value_ = 0;
   Time first_{};
   Time last_{};
--- a/src/policy/rate_limiter.hpp
+++ b/src/policy/rate_limiter.hpp
@@ -13,7 +13,7 @@
 extern const Duration kRejectionPause;
 // Maximum length of the window in which a rate limit counts calls: rejections for longer than this
 // are an outage.
-extern const Duration kMaxLimitSpan;
+extern const Duration kMaxRateLimitWindow;
 // Maximum number of times that consecutive failures or rejections double a backoff.
 extern const int kMaxBackoffDoublings;
 // Share of its latency objective for which a message waits for others to share its call.
--- a/src/policy/retry_scheduler.hpp
+++ b/src/policy/retry_scheduler.hpp
@@ -58,9 +58,9 @@
   // the attempt if its slot is needed or if another attempt may succeed.
   void ReviewAttempt(Message& message);
 
-  // Returns whether the Retry-After of every listed endpoint ends at `last` or later. The messages
+  // Returns whether the Retry-After of every listed endpoint ends at `time` or later. The messages
   // are then given up now instead of at that time.
-  bool AllEndpointsWaitPast(DestinationId destination, Time last);
+  bool AllEndpointsWaitPast(DestinationId destination, Time time);
 
   const Settings& settings_;
   const Time& now_;
