--- a/tests/consumer/dispatcher.cpp
+++ b/tests/consumer/dispatcher.cpp
@@ -15,7 +15,7 @@
   settings.max_concurrent_calls = 4;
   settings.max_in_flight = 100;
   settings.decision_interval = 5ms;
-  dispatch_policy::DispatchPolicy choice(settings, 1);
+  dispatch_policy::DispatchPolicy policy(settings, 1);
 
   std::vector<dispatch_policy::Event> events;
   events.push_back(dispatch_policy::EndpointList{.version = 1,
@@ -27,7 +27,7 @@
   int delivered = 0;
   for (dispatch_policy::Time now = 0ms; now < 1s && delivered == 0;
        now += settings.decision_interval) {
-    const std::vector<dispatch_policy::Action> actions = choice.Decide(now, events);
+    const std::vector<dispatch_policy::Action> actions = policy.Decide(now, events);
     events.clear();
     for (const dispatch_policy::Action& action : actions) {
       if (const auto* send = std::get_if<dispatch_policy::SendAttempt>(&action)) {
--- a/tests/policy/admission_gate_test.cpp
+++ b/tests/policy/admission_gate_test.cpp
@@ -17,23 +17,23 @@
 }
 
 TEST(AdmissionGate, RejectsAShareInOverloadAndAllNewMessagesAboveDiscardThreshold) {
-  int entered = 0;
+  int admitted = 0;
   for (std::uint64_t seed = 0; seed < 400; ++seed) {
     DispatchPolicy policy(TestSettings(), seed);
     std::vector<Event> events;
     for (MessageId id = 0; id < 8; ++id) events.push_back(Arrive(id));
     events.push_back(Arrive(8));  // at n = 8 = R: discard
-    int refused = 0;
+    int rejected = 0;
     for (const Action& a : policy.Decide(1s, events))
-      refused += std::holds_alternative<RejectMessage>(a);
-    EXPECT_EQ(refused, 1);
+      rejected += std::holds_alternative<RejectMessage>(a);
+    EXPECT_EQ(rejected, 1);
     events = {MessageCancelled{0}, Arrive(9)};  // n = 7 < H: discard gives way to overload
-    refused = 0;
+    rejected = 0;
     for (const Action& a : policy.Decide(2s, events))
-      refused += std::holds_alternative<RejectMessage>(a);
-    entered += 1 - refused;
+      rejected += std::holds_alternative<RejectMessage>(a);
+    admitted += 1 - rejected;
   }
-  EXPECT_NEAR(entered / 400.0, 0.4, 0.08);  // q is 0.6
+  EXPECT_NEAR(admitted / 400.0, 0.4, 0.08);  // q is 0.6
 }
 
 TEST(AdmissionGate, LeavesDiscardBelowOnsetAndOverloadBelowAbatement) {
@@ -89,15 +89,16 @@
 }
 
 TEST(AdmissionGate, DiscardsBeforeASmallCapacityIsUsedUp) {
-  const std::map<std::size_t, MessageId> entering = {{8, 6}, {9, 6}, {10, 7}, {11, 8}, {12, 8}};
-  for (const auto& [hold, entered] : entering) {
+  const std::map<std::size_t, MessageId> expected_admissions = {
+      {8, 6}, {9, 6}, {10, 7}, {11, 8}, {12, 8}};
+  for (const auto& [max_in_flight, admitted] : expected_admissions) {
     Settings settings = TestSettings();
-    settings.max_in_flight = hold;
+    settings.max_in_flight = max_in_flight;
     PolicyDriver driver(settings);
-    for (MessageId id = 0; id < hold; ++id) {
+    for (MessageId id = 0; id < max_in_flight; ++id) {
       driver.At(1s, {Arrive(id)});
-      EXPECT_EQ(driver.ActionsOf<RejectMessage>().size(), id < entered ? 0u : 1u)
-          << hold << " " << id;
+      EXPECT_EQ(driver.ActionsOf<RejectMessage>().size(), id < admitted ? 0u : 1u)
+          << max_in_flight << " " << id;
     }
   }
 }
--- a/tests/policy/caller_contract_test.cpp
+++ b/tests/policy/caller_contract_test.cpp
@@ -7,7 +7,7 @@
 
 TEST(CallerContract, IgnoresUnknownMessagesAttemptsAndEndpoints) {
   PolicyDriver driver;
-  driver.At(1s, {One(), AttemptCompleted{}, MessageCancelled{77}, HealthCheckCompleted{},
+  driver.At(1s, {OneEndpoint(), AttemptCompleted{}, MessageCancelled{77}, HealthCheckCompleted{},
                  TimerFired{12345}});
   AttemptCompleted unsent = driver.End(1, Outcome::kDelivered);
   unsent.attempt = 3;
@@ -20,7 +20,7 @@
 TEST(CallerContract, TreatsAClockThatRunsBackwardsAsStandingStill) {
   PolicyDriver driver;
   driver.At(10s, {Arrive(1)});
-  driver.At(1s, {One()});
+  driver.At(1s, {OneEndpoint()});
   EXPECT_EQ(driver.attempts[1], 1u);
   driver.At(2s, {driver.End(1, Outcome::kError)});
   driver.At(10s);
@@ -30,26 +30,26 @@
 TEST(CallerContract, TreatsZeroAndMissingSettingsAsNoLimit) {
   DispatchPolicy policy(Settings{}, 0);
   const std::vector<Event> unknown = {Arrive(1)};
-  const auto refused = policy.Decide(1s, unknown);
-  ASSERT_EQ(refused.size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<RejectMessage>(refused[0])) << "no such class";
+  const auto rejected = policy.Decide(1s, unknown);
+  ASSERT_EQ(rejected.size(), 1u);
+  EXPECT_TRUE(std::holds_alternative<RejectMessage>(rejected[0])) << "no such class";
   Settings settings;
   settings.classes.resize(1);
   PolicyDriver driver(settings);
-  driver.At(1s, {One(), Arrive(1, kIdempotent, 1)});
+  driver.At(1s, {OneEndpoint(), Arrive(1, kIdempotent, 1)});
   EXPECT_EQ(driver.ActionsOf<SendAttempt>().size(), 1u);
 }
 
 // The share of nobody would be without bound, and a failed endpoint called each turn.
-TEST(CallerContract, TreatsAGroupOfNoneAsAGroupOfOne) {
+TEST(CallerContract, TreatsAGroupSizeOfZeroAsOne) {
   int calls[2] = {};
   for (std::size_t group : {0, 1}) {
     Settings settings = TestSettings();
     settings.group_size = group;
     PolicyDriver driver(settings);
     MessageId next = 1;
-    driver.At(900ms, {One()});
-    calls[group] = CallsWhileAllEnd(driver, Outcome::kConnectFailed, 1s, 20s, next);
+    driver.At(900ms, {OneEndpoint()});
+    calls[group] = CallsWhileAllEndWith(driver, Outcome::kConnectFailed, 1s, 20s, next);
   }
   EXPECT_GT(calls[1], 0);
   EXPECT_EQ(calls[0], calls[1]);
@@ -59,7 +59,7 @@
   PolicyDriver driver;
   MessageArrived late = Arrive(1, kNotIdempotent);
   late.time_left = 0ms;
-  driver.At(1s, {One(), late});
+  driver.At(1s, {OneEndpoint(), late});
   EXPECT_EQ(driver.ActionsOf<RejectMessage>().size(), 1u);
   EXPECT_TRUE(driver.ActionsOf<SendAttempt>().empty());
 }
@@ -89,7 +89,7 @@
     Settings settings = TestSettings();
     settings.group_size = group;
     PolicyDriver driver(settings);
-    driver.At(1s, {One(), Arrive(1)});
+    driver.At(1s, {OneEndpoint(), Arrive(1)});
     std::size_t timers = 0;
     std::vector<Event> events = {driver.End(1, Outcome::kConnectFailed)};
     for (Time t = 1s; t < 22s; t += 5ms) {
--- a/tests/policy/characterization_test.cpp
+++ b/tests/policy/characterization_test.cpp
@@ -28,8 +28,8 @@
 constexpr int kStreams = 240;
 constexpr int kStepsPerStream = 500;
 constexpr std::array<std::size_t, 9> kGroupSizes = {1, 2, 3, 5, 10, 17, 50, 100, 300};
-constexpr EndpointId kEndpoints = 12;
-constexpr DestinationId kDestinations = 5;
+constexpr EndpointId kEndpointCount = 12;
+constexpr DestinationId kDestinationCount = 5;
 
 // FNV-1a over the fields of the actions.
 class Digest {
@@ -104,17 +104,17 @@
       : random_(0x5eed0000u + static_cast<unsigned>(number)),
         settings_(DrawSettings(random_, number)),
         policy_(std::make_unique<DispatchPolicy>(settings_, random_())),
-        sparse_(number % 4 == 3) {
-    for (EndpointId id = 0; id < kEndpoints; ++id) {
-      entries_[id] = {id,     id % kDestinations,     id % kDestinations % 2,
+        low_traffic_(number % 4 == 3) {
+    for (EndpointId id = 0; id < kEndpointCount; ++id) {
+      entries_[id] = {id,     id % kDestinationCount, id % kDestinationCount % 2,
                       id % 2, EndpointState::kListed, static_cast<double>(random_() % 40)};
     }
   }
 
   void Run() {
-    AnnounceEndpoints(ListForm::kComplete);
+    ReportEndpoints(ListForm::kComplete);
     for (int step = 0; step < kStepsPerStream; ++step) {
-      now_ += std::chrono::milliseconds(5 + random_() % (sparse_ ? 400 : 60));
+      now_ += std::chrono::milliseconds(5 + random_() % (low_traffic_ ? 400 : 60));
       DrawEvents();
       CompleteAttempts();
       if (timer_ && *timer_ <= now_) {
@@ -136,7 +136,7 @@
     EndpointId endpoint = 0;
     Time sent{};
     Time completes{};
-    bool out = true;
+    bool in_flight = true;
     bool cancelled = false;
   };
   struct Message {
@@ -150,42 +150,44 @@
     EndpointId ran_on_endpoint = 0;
   };
 
-  bool OneIn(std::uint64_t times) { return random_() % times == 0; }
-  Duration UpTo(Duration most) {
+  bool WithProbabilityOneIn(std::uint64_t times) { return random_() % times == 0; }
+  Duration UpTo(Duration limit) {
     return Duration(
-        static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(most.count())));
+        static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(limit.count())));
   }
 
   void DrawEvents() {
-    const std::size_t usual = sparse_ ? random_() % 2 : random_() % 3;
-    const std::size_t arrivals = OneIn(12) ? 3 + random_() % 12 : usual;
+    const std::size_t usual = low_traffic_ ? random_() % 2 : random_() % 3;
+    const std::size_t arrivals = WithProbabilityOneIn(12) ? 3 + random_() % 12 : usual;
     for (std::size_t i = 0; i < arrivals; ++i) Arrive();
-    if (OneIn(30)) ChangeEndpoints();
-    if (OneIn(60) && next_message_ > 0) {
+    if (WithProbabilityOneIn(30)) ChangeEndpoints();
+    if (WithProbabilityOneIn(60) && next_message_ > 0) {
       const MessageId message = random_() % next_message_;
       events_.emplace_back(MessageCancelled{message});
       messages_.erase(message);
     }
-    if (OneIn(40)) health_ = random_() % 6;
-    if (OneIn(25)) events_.emplace_back(QuotaLeased{RandomEndpoint(), DrawShare()});
-    if (OneIn(15)) {
+    if (WithProbabilityOneIn(40)) failing_destination_ = random_() % 6;
+    if (WithProbabilityOneIn(25)) events_.emplace_back(QuotaLeased{RandomEndpoint(), DrawShare()});
+    if (WithProbabilityOneIn(15)) {
       events_.emplace_back(PeerHealthReport{RandomEndpoint(),
                                             static_cast<PeerHealth>(random_() % 5), UpTo(2s),
                                             UpTo(1s), 1 + random_() % 3});
     }
-    if (OneIn(100)) {
+    if (WithProbabilityOneIn(100)) {
       AttemptCompleted of_unknown_message;
       of_unknown_message.message = next_message_ + 7;
       events_.emplace_back(of_unknown_message);
     }
-    if (OneIn(200)) Restart();
+    if (WithProbabilityOneIn(200)) Restart();
   }
 
   // One id in 16 is of no endpoint.
-  EndpointId RandomEndpoint() { return OneIn(16) ? kEndpoints + 5 : random_() % kEndpoints; }
+  EndpointId RandomEndpoint() {
+    return WithProbabilityOneIn(16) ? kEndpointCount + 5 : random_() % kEndpointCount;
+  }
 
   std::optional<double> DrawShare() {
-    if (OneIn(3)) return std::nullopt;
+    if (WithProbabilityOneIn(3)) return std::nullopt;
     return static_cast<double>(random_() % 100) / 10;
   }
 
@@ -193,37 +195,39 @@
     const MessageId id = next_message_++;
     MessageArrived event;
     event.message = id;
-    event.destination = random_() % kDestinations;
-    event.message_class = OneIn(80) ? 9 : random_() % settings_.classes.size();
+    event.destination = random_() % kDestinationCount;
+    event.message_class = WithProbabilityOneIn(80) ? 9 : random_() % settings_.classes.size();
     event.tenant = random_() % settings_.tenants.size();
-    const Duration whole = event.message_class < settings_.classes.size()
-                               ? settings_.classes[event.message_class].deadline
-                               : 1s;
-    event.time_left = OneIn(4) ? UpTo(whole) : whole;
-    if (!OneIn(3)) event.key = std::string(1, static_cast<char>('a' + random_() % 5));
+    const Duration class_deadline = event.message_class < settings_.classes.size()
+                                        ? settings_.classes[event.message_class].deadline
+                                        : 1s;
+    event.time_left = WithProbabilityOneIn(4) ? UpTo(class_deadline) : class_deadline;
+    if (!WithProbabilityOneIn(3))
+      event.key = std::string(1, static_cast<char>('a' + random_() % 5));
     messages_[id] = {
         event.destination, event.message_class, event.key, now_ + event.time_left, {}, 0, {}, 0};
     events_.emplace_back(std::move(event));
   }
 
   void ChangeEndpoints() {
-    if (OneIn(8)) {
+    if (WithProbabilityOneIn(8)) {
       EndpointList failed;
       failed.form = ListForm::kFailed;
       events_.emplace_back(std::move(failed));
       return;
     }
     for (int changes = 0; changes < 2; ++changes) {
-      EndpointEntry& entry = entries_[random_() % kEndpoints];
-      entry.state = OneIn(2) ? EndpointState::kListed : static_cast<EndpointState>(random_() % 3);
-      entry.weight = OneIn(10) ? 1e9 : static_cast<double>(random_() % 40);
+      EndpointEntry& entry = entries_[random_() % kEndpointCount];
+      entry.state = WithProbabilityOneIn(2) ? EndpointState::kListed
+                                            : static_cast<EndpointState>(random_() % 3);
+      entry.weight = WithProbabilityOneIn(10) ? 1e9 : static_cast<double>(random_() % 40);
     }
-    AnnounceEndpoints(OneIn(2) ? ListForm::kComplete : ListForm::kChanges);
+    ReportEndpoints(WithProbabilityOneIn(2) ? ListForm::kComplete : ListForm::kChanges);
   }
 
-  void AnnounceEndpoints(ListForm form) {
+  void ReportEndpoints(ListForm form) {
     EndpointList list;
-    list.version = OneIn(10) && version_ > 2 ? version_ - 2 : ++version_;
+    list.version = WithProbabilityOneIn(10) && version_ > 2 ? version_ - 2 : ++version_;
     list.form = form;
     for (const auto& [id, entry] : entries_) {
       if (form == ListForm::kChanges || entry.state != EndpointState::kRemoved) {
@@ -239,10 +243,10 @@
     timer_.reset();
     policy_ = std::make_unique<DispatchPolicy>(settings_, random_());
     version_ = 1;
-    AnnounceEndpoints(ListForm::kComplete);
+    ReportEndpoints(ListForm::kComplete);
     for (auto& [id, message] : messages_) {
       for (const Attempt& attempt : message.attempts) {
-        if (attempt.out) NoteMayHaveRun(message, attempt);
+        if (attempt.in_flight) RecordMayHaveRun(message, attempt);
       }
       MessageRestored event;
       event.message = id;
@@ -259,28 +263,28 @@
     }
   }
 
-  static void NoteMayHaveRun(Message& message, const Attempt& attempt) {
+  static void RecordMayHaveRun(Message& message, const Attempt& attempt) {
     if (message.may_have_run) return;
     message.may_have_run = attempt.sent;
     message.ran_on_endpoint = attempt.endpoint;
   }
 
   void CompleteAttempts() {
-    std::vector<MessageId> over;
+    std::vector<MessageId> finished;
     for (auto& [id, message] : messages_) {
       for (std::size_t i = 0; i < message.attempts.size(); ++i) {
         Attempt& attempt = message.attempts[i];
-        if (!attempt.out || (attempt.completes > now_ && !attempt.cancelled)) continue;
-        attempt.out = false;
-        if (Complete(id, message, i)) over.push_back(id);
+        if (!attempt.in_flight || (attempt.completes > now_ && !attempt.cancelled)) continue;
+        attempt.in_flight = false;
+        if (Complete(id, message, i)) finished.push_back(id);
       }
     }
-    for (const MessageId id : over) messages_.erase(id);
-    for (const EndpointId endpoint : checks_) {
+    for (const MessageId id : finished) messages_.erase(id);
+    for (const EndpointId endpoint : health_checks_) {
       events_.emplace_back(
           HealthCheckCompleted{endpoint, DrawOutcome(endpoint), UpTo(200ms), DrawReport()});
     }
-    checks_.clear();
+    health_checks_.clear();
   }
 
   // True if the message is over.
@@ -292,30 +296,31 @@
     event.endpoint = attempt.endpoint;
     event.outcome = attempt.cancelled ? Outcome::kCancelled : DrawOutcome(attempt.endpoint);
     event.elapsed = now_ - attempt.sent;
-    event.finished = event.outcome == Outcome::kDelivered || OneIn(100);
-    event.exhausted = OneIn(100);
-    if (event.outcome == Outcome::kRejected && OneIn(2))
-      event.retry_after = UpTo(OneIn(20) ? 20s : 3s);
+    event.finished = event.outcome == Outcome::kDelivered || WithProbabilityOneIn(100);
+    event.exhausted = WithProbabilityOneIn(100);
+    if (event.outcome == Outcome::kRejected && WithProbabilityOneIn(2))
+      event.retry_after = UpTo(WithProbabilityOneIn(20) ? 20s : 3s);
     event.report = DrawReport();
-    const bool doubt = event.outcome == Outcome::kTimeout || event.outcome == Outcome::kReset ||
-                       event.outcome == Outcome::kCancelled || event.outcome == Outcome::kError;
-    if (doubt) NoteMayHaveRun(message, attempt);
-    const bool over = event.finished;
+    const bool may_have_run =
+        event.outcome == Outcome::kTimeout || event.outcome == Outcome::kReset ||
+        event.outcome == Outcome::kCancelled || event.outcome == Outcome::kError;
+    if (may_have_run) RecordMayHaveRun(message, attempt);
+    const bool finished = event.finished;
     events_.emplace_back(std::move(event));
-    return over;
+    return finished;
   }
 
   // Endpoints of a destination fail together for a while, as `health_` draws it.
   Outcome DrawOutcome(EndpointId endpoint) {
-    const bool failing = endpoint % kDestinations == health_;
-    if (!failing && !OneIn(8)) return Outcome::kDelivered;
+    const bool failing = endpoint % kDestinationCount == failing_destination_;
+    if (!failing && !WithProbabilityOneIn(8)) return Outcome::kDelivered;
     return static_cast<Outcome>(1 + random_() % 8);
   }
 
   LoadReport DrawReport() {
     LoadReport report;
-    if (OneIn(3)) report.allowance_left = static_cast<double>(random_() % 100) / 100;
-    if (OneIn(3)) report.limit = static_cast<double>(random_() % 60);
+    if (WithProbabilityOneIn(3)) report.allowance_left = static_cast<double>(random_() % 100) / 100;
+    if (WithProbabilityOneIn(3)) report.limit = static_cast<double>(random_() % 60);
     return report;
   }
 
@@ -334,8 +339,9 @@
     const auto it = messages_.find(action.message);
     if (it == messages_.end()) return;
     const Duration usual = 10ms + UpTo(150ms);
-    const Duration takes = OneIn(10) ? action.timeout : std::min(usual, action.timeout);
-    it->second.attempts.push_back({action.endpoint, now_, now_ + takes});
+    const Duration duration =
+        WithProbabilityOneIn(10) ? action.timeout : std::min(usual, action.timeout);
+    it->second.attempts.push_back({action.endpoint, now_, now_ + duration});
   }
   void Apply(const RejectMessage& action) {
     Begin(1);
@@ -364,7 +370,7 @@
   void Apply(const StartHealthCheck& action) {
     Begin(5);
     digest_.Add(action.endpoint);
-    checks_.push_back(action.endpoint);
+    health_checks_.push_back(action.endpoint);
   }
   void Apply(const SubscribeToEndpointList&) { Begin(6); }
   void Apply(const LogMessage&) { ++counts_[7]; }
@@ -372,7 +378,7 @@
   std::mt19937_64 random_;
   Settings settings_;
   std::unique_ptr<DispatchPolicy> policy_;
-  const bool sparse_;  // few messages over a long time: each endpoint is called seldom
+  const bool low_traffic_;  // few messages over a long time: each endpoint is called seldom
   Time now_ = 1s;
   std::optional<Time> timer_;
   std::vector<Event> events_;
@@ -380,8 +386,8 @@
   std::map<MessageId, Message> messages_;
   MessageId next_message_ = 0;
   std::uint64_t version_ = 0;
-  std::uint64_t health_ = 5;  // the destination that fails; 5: none
-  std::vector<EndpointId> checks_;
+  std::uint64_t failing_destination_ = 5;  // the destination that fails; 5: none
+  std::vector<EndpointId> health_checks_;
   Digest digest_;
   std::array<std::uint64_t, std::variant_size_v<Action>> counts_{};
 };
--- a/tests/policy/circuit_breaker_test.cpp
+++ b/tests/policy/circuit_breaker_test.cpp
@@ -12,7 +12,7 @@
 // A connection limit must not lower the rate of calls on the connections that stand.
 TEST(CircuitBreaker, LimitsCallsToTheConnectionsThatTheEndpointAllows) {
   PolicyDriver driver;
-  std::vector<Event> events{One()};
+  std::vector<Event> events{OneEndpoint()};
   for (MessageId id = 1; id <= 4; ++id) events.emplace_back(Arrive(id));
   driver.At(0s, events);
   ASSERT_EQ(driver.ActionsOf<SendAttempt>().size(), 4u);
@@ -28,7 +28,7 @@
 
 TEST(CircuitBreaker, IgnoresAResetWhereOtherCallsAreAnswered) {
   PolicyDriver driver;
-  driver.At(1s, {One(), Arrive(1), Arrive(2)});
+  driver.At(1s, {OneEndpoint(), Arrive(1), Arrive(2)});
   driver.At(1100ms, {driver.End(1, Outcome::kDelivered), driver.End(2, Outcome::kReset), Arrive(3),
                      Arrive(4)});
   EXPECT_EQ(driver.ActionsOf<SendAttempt>().size(), 3u) << "the reset one and both new ones";
@@ -39,7 +39,7 @@
 
 TEST(CircuitBreaker, PausesAfterAConnectionLimitWithNoCallInFlight) {
   PolicyDriver driver;
-  driver.At(0s, {One(), Arrive(1)});
+  driver.At(0s, {OneEndpoint(), Arrive(1)});
   driver.At(100ms, {driver.End(1, Outcome::kConnectionLimitReached), Arrive(2)});
   EXPECT_TRUE(driver.ActionsOf<SendAttempt>().empty());
   driver.At(2s);
@@ -50,45 +50,45 @@
   for (Outcome o : {Outcome::kError, Outcome::kConnectFailed, Outcome::kReset}) {
     PolicyDriver driver;
     MessageId next = 1;
-    driver.At(900ms, {One()});
-    CallsWhileAllEnd(driver, o, 1s, 5s, next);
-    EXPECT_LE(CallsWhileAllEnd(driver, o, 5s, 15s, next), 25);
+    driver.At(900ms, {OneEndpoint()});
+    CallsWhileAllEndWith(driver, o, 1s, 5s, next);
+    EXPECT_LE(CallsWhileAllEndWith(driver, o, 5s, 15s, next), 25);
   }
 }
 
 TEST(CircuitBreaker, SlowStartsAReturningDestinationWithinTheBudget) {
   PolicyDriver driver;
   MessageId next = 1;
-  driver.At(900ms, {One()});
-  CallsWhileAllEnd(driver, Outcome::kConnectFailed, 1s, 15s, next);
-  const int first = CallsWhileAllEnd(driver, Outcome::kDelivered, 15s, 17s, next);
+  driver.At(900ms, {OneEndpoint()});
+  CallsWhileAllEndWith(driver, Outcome::kConnectFailed, 1s, 15s, next);
+  const int first = CallsWhileAllEndWith(driver, Outcome::kDelivered, 15s, 17s, next);
   // 10 a second are asked for; cold it can do a fifth, and twice that pushes it over.
   EXPECT_GE(first, 1);
   EXPECT_LE(first, 8);
-  CallsWhileAllEnd(driver, Outcome::kDelivered, 17s, 30s, next);
-  EXPECT_GE(CallsWhileAllEnd(driver, Outcome::kDelivered, 30s, 32s, next), 15) << "warm again";
+  CallsWhileAllEndWith(driver, Outcome::kDelivered, 17s, 30s, next);
+  EXPECT_GE(CallsWhileAllEndWith(driver, Outcome::kDelivered, 30s, 32s, next), 15) << "warm again";
 }
 
 TEST(CircuitBreaker, TreatsALongRetryAfterAsAnOutage) {
   PolicyDriver driver;
   MessageId next = 1;
-  driver.At(900ms, {One()});
-  CallsWhileAllEnd(driver, Outcome::kDelivered, 1s, 10s, next);
+  driver.At(900ms, {OneEndpoint()});
+  CallsWhileAllEndWith(driver, Outcome::kDelivered, 1s, 10s, next);
   driver.At(10s, {Arrive(9000)});
   AttemptCompleted end = driver.End(9000, Outcome::kRejected);
   end.retry_after = 8s;
   driver.At(10100ms, {end});
-  CallsWhileAllEnd(driver, Outcome::kDelivered, 10200ms, 18100ms, next);
-  EXPECT_LE(CallsWhileAllEnd(driver, Outcome::kDelivered, 18100ms, 20100ms, next), 8);
+  CallsWhileAllEndWith(driver, Outcome::kDelivered, 10200ms, 18100ms, next);
+  EXPECT_LE(CallsWhileAllEndWith(driver, Outcome::kDelivered, 18100ms, 20100ms, next), 8);
 }
 
 // Such an answer must not close the breaker during the Retry-After: the full rate would meet a
 // destination that is warming up.
-TEST(CircuitBreaker, IgnoresLateAnswersFromBeforeTheEndpointClosed) {
+TEST(CircuitBreaker, IgnoresLateAnswersToCallsFromBeforeTheBreakerOpened) {
   PolicyDriver driver;
   MessageId next = 1;
-  driver.At(900ms, {One()});
-  CallsWhileAllEnd(driver, Outcome::kDelivered, 1s, 10s, next);
+  driver.At(900ms, {OneEndpoint()});
+  CallsWhileAllEndWith(driver, Outcome::kDelivered, 1s, 10s, next);
   driver.At(10s, {Arrive(9000), Arrive(9001)});
   AttemptCompleted end = driver.End(9000, Outcome::kRejected);
   end.retry_after = 8s;
@@ -97,7 +97,7 @@
   std::vector<Event> backlog;
   for (int i = 0; i < 30; ++i) backlog.push_back(Arrive(10000u + static_cast<MessageId>(i)));
   driver.At(17s, backlog);
-  EXPECT_LE(CallsWhileAllEnd(driver, Outcome::kDelivered, 18200ms, 20200ms, next), 8);
+  EXPECT_LE(CallsWhileAllEndWith(driver, Outcome::kDelivered, 18200ms, 20200ms, next), 8);
 }
 
 // One class fails at one endpoint, all classes there, or all endpoints: each has a result of its
@@ -151,7 +151,7 @@
     std::vector<PolicyDriver> all;
     for (std::size_t i = 0; i < group; ++i) {
       all.emplace_back(settings, i);
-      all.back().At(900ms, {One()});
+      all.back().At(900ms, {OneEndpoint()});
     }
     std::mt19937_64 random(group);
     std::vector<std::vector<Event>> events(group);
@@ -182,7 +182,7 @@
 // Loss on the way: a third of the calls fail, and the endpoint stays in use.
 TEST(CircuitBreaker, StaysClosedWhenAThirdOfTheCallsAreLost) {
   PolicyDriver driver;
-  driver.At(900ms, {One()});
+  driver.At(900ms, {OneEndpoint()});
   int calls = 0;
   MessageId next = 1000;
   const auto end = [&](Time, const SendAttempt& send) {
@@ -197,13 +197,13 @@
 TEST(CircuitBreaker, KeepsTheLearnedRateOnRejectionsWhileWarmingUp) {
   PolicyDriver driver;
   MessageId next = 1;
-  driver.At(900ms, {One()});
-  CallsWhileAllEnd(driver, Outcome::kDelivered, 1s, 6s, next);
-  CallsWhileAllEnd(driver, Outcome::kConnectFailed, 6s, 14s, next);
-  CallsWhileAllEnd(driver, Outcome::kDelivered, 14s, 20s, next);
-  CallsWhileAllEnd(driver, Outcome::kRejected, 20s, 21s, next);
-  CallsWhileAllEnd(driver, Outcome::kDelivered, 21s, 28s, next);
-  EXPECT_GE(CallsWhileAllEnd(driver, Outcome::kDelivered, 28s, 30s, next), 18);
+  driver.At(900ms, {OneEndpoint()});
+  CallsWhileAllEndWith(driver, Outcome::kDelivered, 1s, 6s, next);
+  CallsWhileAllEndWith(driver, Outcome::kConnectFailed, 6s, 14s, next);
+  CallsWhileAllEndWith(driver, Outcome::kDelivered, 14s, 20s, next);
+  CallsWhileAllEndWith(driver, Outcome::kRejected, 20s, 21s, next);
+  CallsWhileAllEndWith(driver, Outcome::kDelivered, 21s, 28s, next);
+  EXPECT_GE(CallsWhileAllEndWith(driver, Outcome::kDelivered, 28s, 30s, next), 18);
 }
 
 TEST(CircuitBreaker, ChecksHealthOnlyWhereAllowedAndRisksNoNonIdempotentMessage) {
@@ -212,18 +212,18 @@
     settings.health_checks_allowed = allowed;
     PolicyDriver driver(settings);
     MessageId next = 1;
-    driver.At(900ms, {One()});
-    CallsWhileAllEnd(driver, Outcome::kConnectFailed, 1s, 5s, next);
-    std::size_t probes = 0;
+    driver.At(900ms, {OneEndpoint()});
+    CallsWhileAllEndWith(driver, Outcome::kConnectFailed, 1s, 5s, next);
+    std::size_t health_checks = 0;
     std::vector<Event> events;
     for (MessageId id = 1; id < next; ++id) events.push_back(MessageCancelled{id});
     events.push_back(Arrive(5000, kNotIdempotent));
     for (Time t = 5s; t < 12s; t += 100ms) {
       driver.At(t, events);
       events.clear();
-      probes += driver.ActionsOf<StartHealthCheck>().size();
+      health_checks += driver.ActionsOf<StartHealthCheck>().size();
     }
-    EXPECT_EQ(probes > 0, allowed);
+    EXPECT_EQ(health_checks > 0, allowed);
     EXPECT_EQ(driver.attempts[5000] == 0, allowed);
   }
 }
@@ -236,19 +236,19 @@
     settings.group_size = 100;
     PolicyDriver driver(settings);
     MessageId next = 1;
-    driver.At(900ms, {One()});
-    CallsWhileAllEnd(driver, outcome, 1s, 5s, next);
+    driver.At(900ms, {OneEndpoint()});
+    CallsWhileAllEndWith(driver, outcome, 1s, 5s, next);
     std::vector<Event> events;
     for (MessageId id = 1; id < next; ++id) events.push_back(MessageCancelled{id});
     events.push_back(Arrive(5000, kOrdered));
-    std::size_t probes = 0;
+    std::size_t health_checks = 0;
     for (Time t = 5s; t < 12s; t += 100ms) {
       driver.At(t, events);
       events.clear();
-      probes += driver.ActionsOf<StartHealthCheck>().size();
+      health_checks += driver.ActionsOf<StartHealthCheck>().size();
     }
     EXPECT_EQ(driver.attempts[5000] > 0, outcome == Outcome::kConnectFailed);
-    EXPECT_EQ(probes == 0, outcome == Outcome::kConnectFailed);
+    EXPECT_EQ(health_checks == 0, outcome == Outcome::kConnectFailed);
   }
 }
 
--- a/tests/policy/components_test.cpp
+++ b/tests/policy/components_test.cpp
@@ -23,7 +23,7 @@
   EXPECT_NEAR(estimator.Rate(5s), 10, 0.5);
 }
 
-TEST(RateEstimator, ForgetsARateThatIsOver) {
+TEST(RateEstimator, ForgetsARateAfterEventsEnd) {
   RateEstimator estimator(Seconds(3), 0s);
   for (Time at = 0s; at < 5s; at += 100ms) estimator.Add(at);
   EXPECT_LT(estimator.Rate(60s), 1e-6);
@@ -50,7 +50,7 @@
 struct ListedEndpoint {
   explicit ListedEndpoint(Settings settings) : context(std::move(settings), 1), registry(context) {
     context.Begin(1s);
-    registry.ApplyList(One());
+    registry.ApplyList(OneEndpoint());
   }
   Endpoint& endpoint() { return registry.EndpointAt(1); }
   Destination& destination() { return registry.DestinationAt(1); }
@@ -74,7 +74,7 @@
   EXPECT_EQ(&own.registry.FindScope(own.endpoint()), &own.endpoint().own_scope);
 }
 
-TEST(ConcurrencyLimiter, TakesASlotForEachCallAndGivesItBack) {
+TEST(ConcurrencyLimiter, UsesASlotForEachCallAndFreesItAfterwards) {
   Settings settings = TestSettings();
   settings.max_concurrent_calls = 2;
   ListedEndpoint listed(settings);
@@ -88,7 +88,7 @@
   EXPECT_EQ(listed.destination().calls_in_flight, 1);
 }
 
-TEST(ConcurrencyLimiter, HasNoBoundWhereNoneIsSet) {
+TEST(ConcurrencyLimiter, HasNoLimitIfNoneIsSet) {
   Settings settings = TestSettings();
   settings.max_concurrent_calls = 0;
   ListedEndpoint listed(settings);
--- a/tests/policy/concurrency_limiter_test.cpp
+++ b/tests/policy/concurrency_limiter_test.cpp
@@ -22,13 +22,13 @@
 }
 
 // With few slots the last one must count as taken before it is given away.
-TEST(ConcurrencyLimiter, KeepsTheLastSlotsForOthersHoweverFewThereAre) {
+TEST(ConcurrencyLimiter, KeepsTheLastSlotsForOthersEvenIfThereAreFew) {
   const std::map<std::size_t, std::size_t> most = {{2, 1}, {3, 2}, {4, 3}, {5, 4}, {20, 16}};
   for (const auto& [slots, calls] : most) {
     Settings settings = TestSettings();
     settings.max_concurrent_calls = slots;
     PolicyDriver driver(settings);
-    driver.At(1s, {One(), Arrive(900, kIdempotent, 2)});  // 2 waits for an endpoint
+    driver.At(1s, {OneEndpoint(), Arrive(900, kIdempotent, 2)});  // 2 waits for an endpoint
     std::size_t sent = 0;
     for (MessageId id = 0; id < 22; ++id) {
       driver.At(1s, {Arrive(id)});
--- a/tests/policy/condition_transfer_test.cpp
+++ b/tests/policy/condition_transfer_test.cpp
@@ -6,13 +6,13 @@
 namespace dispatch_policy {
 namespace {
 
-constexpr Time kChange = 10s;  // of the process
+constexpr Time kRestart = 10s;  // of the process
 
-using EndOfCall = std::function<AttemptCompleted(PolicyDriver&, Time, const SendAttempt&)>;
+using CallCompletion = std::function<AttemptCompleted(PolicyDriver&, Time, const SendAttempt&)>;
 
-struct Trouble {
+struct Fault {
   const char* name;
-  EndOfCall end;  // of each call before the change
+  CallCompletion end;  // of each call before the change
 };
 
 AttemptCompleted EndAfter(PolicyDriver& driver, const SendAttempt& send, Outcome outcome,
@@ -22,7 +22,7 @@
   return end;
 }
 
-const Trouble kTroubles[] = {
+const Fault kFaults[] = {
     {"a Retry-After of the last answers",
      [](PolicyDriver& driver, Time, const SendAttempt& send) {
        return EndAfter(driver, send, Outcome::kRejected, 8s);
@@ -56,17 +56,17 @@
 }
 
 // A policy that has seen the trouble, with all its calls ended.
-void Observe(PolicyDriver& driver, const Trouble& trouble) {
+void Observe(PolicyDriver& driver, const Fault& fault) {
   MessageId next = 1;
-  driver.At(0s, {One()});
+  driver.At(0s, {OneEndpoint()});
   const std::vector<Event> last = Drive(
-      driver, 100ms, kChange, [&] { return Arrive(next++); },
-      [&](Time at, const SendAttempt& send) { return trouble.end(driver, at, send); });
-  driver.At(kChange - 1ms, last);
+      driver, 100ms, kRestart, [&] { return Arrive(next++); },
+      [&](Time at, const SendAttempt& send) { return fault.end(driver, at, send); });
+  driver.At(kRestart - 1ms, last);
 }
 
 std::vector<Event> RestoredConditions(PolicyDriver& predecessor) {
-  std::vector<Event> events = {One()};
+  std::vector<Event> events = {OneEndpoint()};
   for (const ConditionChange& change : predecessor.policy.TakeConditionChanges()) {
     if (const auto* endpoint = std::get_if<EndpointConditionChange>(&change)) {
       events.emplace_back(
@@ -81,11 +81,11 @@
 }
 
 // Calls of new messages in the 3 s behind the change, all of which are delivered.
-int CallsBehindTheChange(PolicyDriver& driver) {
+int CallsAfterTheRestart(PolicyDriver& driver) {
   MessageId next = 1000;
   int calls = 0;
   Drive(
-      driver, kChange, kChange + 3s, [&] { return Arrive(next++); },
+      driver, kRestart, kRestart + 3s, [&] { return Arrive(next++); },
       [&](Time, const SendAttempt& send) {
         ++calls;
         return driver.End(send.message, Outcome::kDelivered, send.endpoint);
@@ -94,19 +94,19 @@
 }
 
 // Guards against a successor that sends what its predecessor would hold back (report 115bff).
-TEST(ConditionTransfer, ASuccessorSendsNoMoreThanItsPredecessorWould) {
-  for (const Trouble& trouble : kTroubles) {
+TEST(ConditionTransfer, ANewProcessSendsNoMoreThanItsPredecessorWould) {
+  for (const Fault& fault : kFaults) {
     for (const bool own_limits : {false, true}) {
-      SCOPED_TRACE(std::string(trouble.name) + (own_limits ? ", own limit" : ", shared limit"));
-      PolicyDriver undisturbed(SettingsOfCase(own_limits));
-      Observe(undisturbed, trouble);
+      SCOPED_TRACE(std::string(fault.name) + (own_limits ? ", own limit" : ", shared limit"));
+      PolicyDriver uninterrupted(SettingsOfCase(own_limits));
+      Observe(uninterrupted, fault);
       PolicyDriver predecessor(SettingsOfCase(own_limits));
-      Observe(predecessor, trouble);
+      Observe(predecessor, fault);
       PolicyDriver successor(SettingsOfCase(own_limits), 2);
-      successor.At(kChange, RestoredConditions(predecessor));
-      const int without_change = CallsBehindTheChange(undisturbed);
-      EXPECT_LT(without_change, 20);  // of 30 messages and those before: the trouble binds
-      EXPECT_LE(CallsBehindTheChange(successor), without_change + 2);
+      successor.At(kRestart, RestoredConditions(predecessor));
+      const int without_restart = CallsAfterTheRestart(uninterrupted);
+      EXPECT_LT(without_restart, 20);  // of 30 messages and those before: the trouble binds
+      EXPECT_LE(CallsAfterTheRestart(successor), without_restart + 2);
     }
   }
 }
@@ -114,14 +114,15 @@
 // Guards against a wait that ends early because its endpoint was taken for another one.
 TEST(ConditionTransfer, AConditionOfAnUnknownEndpointChangesNothing) {
   PolicyDriver driver;
-  driver.At(1s, {One(), EndpointConditionRestored{7, {.health = Health::kOpen}, {}}, Arrive(1)});
+  driver.At(
+      1s, {OneEndpoint(), EndpointConditionRestored{7, {.health = Health::kOpen}, {}}, Arrive(1)});
   EXPECT_EQ(driver.ActionsOf<SendAttempt>().size(), 1u);
 }
 
 // Guards against a backlog that is sent at once where nothing is known of its destination.
-TEST(ConditionTransfer, ABacklogOfUnknownConditionBeginsWithOneTrialAndASlowStart) {
+TEST(ConditionTransfer, ABacklogForAnUnknownConditionBeginsWithOneTrialAndASlowStart) {
   PolicyDriver driver;
-  std::vector<Event> events = {One()};
+  std::vector<Event> events = {OneEndpoint()};
   for (MessageId id = 1; id <= 50; ++id) {
     MessageRestored restored;
     restored.message = id;
--- a/tests/policy/endpoint_registry_test.cpp
+++ b/tests/policy/endpoint_registry_test.cpp
@@ -7,7 +7,7 @@
 
 TEST(EndpointRegistry, SendsNothingNewToDrainingOrMissingEndpoints) {
   PolicyDriver driver;
-  driver.At(1s, {One()});
+  driver.At(1s, {OneEndpoint()});
   driver.At(2s,
             {EndpointList{2,
                           ListForm::kChanges,
@@ -24,7 +24,7 @@
 
 TEST(EndpointRegistry, ForgetsEndpointsThatWereRemovedLongAgo) {
   PolicyDriver driver;
-  driver.At(0s, {One(), Arrive(1)});
+  driver.At(0s, {OneEndpoint(), Arrive(1)});
   driver.At(1s, {driver.End(1, Outcome::kConnectFailed)});
   driver.At(2s, {driver.End(1, Outcome::kConnectFailed), Listed({}, 2)});
   driver.At(62s, {Listed({}, 3)});
--- a/tests/policy/endpoint_selector_test.cpp
+++ b/tests/policy/endpoint_selector_test.cpp
@@ -13,7 +13,7 @@
   Settings settings = TestSettings();
   settings.kinds[0].max_batch = 5;
   PolicyDriver driver(settings);
-  driver.At(1s, {One(), Arrive(1)});
+  driver.At(1s, {OneEndpoint(), Arrive(1)});
   driver.At(2s);
   ASSERT_EQ(driver.ActionsOf<SendAttempt>().size(), 1u);
   AttemptCompleted slow = driver.End(1, Outcome::kDelivered);
@@ -35,7 +35,7 @@
     PolicyDriver driver(settings);
     MessageArrived m = Arrive(1);
     m.time_left = time_left;
-    driver.At(1s, {One(), m});
+    driver.At(1s, {OneEndpoint(), m});
     driver.At(1s + sent_by - 10ms);
     EXPECT_EQ(driver.attempts[1], 0u);
     driver.At(1s + sent_by);
--- a/tests/policy/group_test.cpp
+++ b/tests/policy/group_test.cpp
@@ -43,27 +43,27 @@
 
 // One destination with one endpoint. Calls above its limit are refused and use the limit up too, as
 // far as a second of it; while it is down no connection comes up.
-struct Partner {
+struct SimulatedDestination {
   double limit = 60;  // calls a second
   bool down = false;
-  double used = 0;  // calls
+  double used_calls = 0;  // calls
   Time last{};
 
-  Outcome Take(Time now) {
+  Outcome HandleCall(Time now) {
     if (down) return Outcome::kConnectFailed;
-    used = std::max(0.0, used - limit * SecondsOf(now - last));
+    used_calls = std::max(0.0, used_calls - limit * SecondsOf(now - last));
     last = now;
-    const bool room = used + 1 <= limit;
-    used = std::min(used + 1, limit);
+    const bool room = used_calls + 1 <= limit;
+    used_calls = std::min(used_calls + 1, limit);
     return room ? Outcome::kDelivered : Outcome::kRejected;
   }
 };
 
 struct Counts {
-  int arrived = 0, refused = 0;            // messages
-  int delivered = 0, in_time = 0;          // messages
-  int calls = 0, accepted = 0, above = 0;  // calls, and those above the limit
-  int probes = 0;
+  int arrived = 0, rejected = 0;                 // messages
+  int delivered = 0, in_time = 0;                // messages
+  int calls = 0, accepted = 0, above_limit = 0;  // calls, and those above the limit
+  int health_checks = 0;
 };
 
 class Fleet {
@@ -71,124 +71,129 @@
   static constexpr Duration kStep = 10ms, kLatency = 100ms;
 
   Fleet(std::size_t group, std::size_t batch, double messages_a_second)
-      : rate(messages_a_second), settings(FleetSettings(group, batch)), nodes(group), random(11) {
+      : rate(messages_a_second),
+        settings(FleetSettings(group, batch)),
+        dispatchers(group),
+        random(11) {
     for (std::size_t i = 0; i < group; ++i) Start(i);
   }
 
   // Begins with nothing learned; what it held before comes back to it.
   void Start(std::size_t i) {
-    const auto held = std::exchange(nodes[i].held, {});
-    nodes[i] = Node{};
-    nodes[i].choice = std::make_unique<DispatchPolicy>(settings, ++seed);
+    const auto messages = std::exchange(dispatchers[i].messages, {});
+    dispatchers[i] = Dispatcher{};
+    dispatchers[i].policy = std::make_unique<DispatchPolicy>(settings, ++seed);
     EndpointList list;
     list.entries.push_back({.endpoint = 1, .destination = 1, .weight = 60});
     list.form = ListForm::kComplete;
-    nodes[i].inbox.emplace_back(list);
-    for (const auto& [id, kept] : held) {
+    dispatchers[i].inbox.emplace_back(list);
+    for (const auto& [id, pending] : messages) {
       MessageRestored restored;
       restored.message = id;
       restored.destination = 1;
-      restored.time_left = kept.first + 12s - now;
-      restored.attempts_used = kept.second;
-      nodes[i].inbox.emplace_back(restored);
-      nodes[i].held[id] = {kept.first, 0};
+      restored.time_left = pending.first + 12s - now;
+      restored.attempts_used = pending.second;
+      dispatchers[i].inbox.emplace_back(restored);
+      dispatchers[i].messages[id] = {pending.first, 0};
     }
   }
 
   // Its calls go on, and nobody hears of their ends; its messages are kept for its next start.
-  void Kill(std::size_t i) {
-    nodes[i].choice.reset();
-    std::erase_if(ends, [&](const auto& end) { return end.second.first == i; });
+  void Stop(std::size_t i) {
+    dispatchers[i].policy.reset();
+    std::erase_if(completions, [&](const auto& end) { return end.second.first == i; });
   }
 
   // Plays so long and returns what happened meanwhile.
-  Counts Play(Duration time) {
+  Counts Advance(Duration time) {
     counts = {};
     for (const Time end = now + time; now < end; now += kStep) {
       Arrivals();
-      for (; !ends.empty() && ends.begin()->first <= now; ends.erase(ends.begin())) {
-        auto& [node, event] = ends.begin()->second;
-        nodes[node].inbox.emplace_back(event);
+      for (; !completions.empty() && completions.begin()->first <= now;
+           completions.erase(completions.begin())) {
+        auto& [dispatcher, event] = completions.begin()->second;
+        dispatchers[dispatcher].inbox.emplace_back(event);
       }
-      for (std::size_t i = 0; i < nodes.size(); ++i) Turn(i);
+      for (std::size_t i = 0; i < dispatchers.size(); ++i) RunDecision(i);
     }
     return counts;
   }
 
-  Partner partner;
+  SimulatedDestination destination;
   double rate;                           // messages a second
   std::optional<double> reported_limit;  // by the reports, where it is not the true one
 
  private:
-  struct Node {
-    std::unique_ptr<DispatchPolicy> choice;
+  struct Dispatcher {
+    std::unique_ptr<DispatchPolicy> policy;
     std::vector<Event> inbox;
     Time wake = Time::max();
-    std::map<MessageId, std::pair<Time, std::size_t>> held;  // arrival, attempts
+    std::map<MessageId, std::pair<Time, std::size_t>> messages;  // arrival, attempts
   };
 
   void Arrivals() {
     std::poisson_distribution<int> count(rate * SecondsOf(kStep));
     for (int n = count(random); n > 0; --n) {
-      std::size_t i = random() % nodes.size();
-      while (!nodes[i].choice) i = random() % nodes.size();
-      Node& node = nodes[i];
-      node.held[++message] = {now, 0};
+      std::size_t i = random() % dispatchers.size();
+      while (!dispatchers[i].policy) i = random() % dispatchers.size();
+      Dispatcher& dispatcher = dispatchers[i];
+      dispatcher.messages[++message] = {now, 0};
       MessageArrived arrived;
       arrived.message = message;
       arrived.destination = 1;
       arrived.time_left = 12s;
-      node.inbox.emplace_back(arrived);
+      dispatcher.inbox.emplace_back(arrived);
       ++counts.arrived;
     }
   }
 
-  void Turn(std::size_t i) {
-    Node& node = nodes[i];
-    if (!node.choice) return;
-    if (node.wake <= now) node.inbox.emplace_back(TimerFired{});
-    if (node.inbox.empty()) return;
-    if (node.wake <= now) node.wake = Time::max();
+  void RunDecision(std::size_t i) {
+    Dispatcher& dispatcher = dispatchers[i];
+    if (!dispatcher.policy) return;
+    if (dispatcher.wake <= now) dispatcher.inbox.emplace_back(TimerFired{});
+    if (dispatcher.inbox.empty()) return;
+    if (dispatcher.wake <= now) dispatcher.wake = Time::max();
     std::vector<Event> events;
-    events.swap(node.inbox);
+    events.swap(dispatcher.inbox);
     std::vector<MessageId> call;
-    for (const Action& action : node.choice->Decide(now, events)) {
+    for (const Action& action : dispatcher.policy->Decide(now, events)) {
       if (const auto* timer = std::get_if<SetTimer>(&action)) {
-        node.wake = std::min(node.wake, timer->at);
-      } else if (const auto* refuse = std::get_if<RejectMessage>(&action)) {
-        counts.refused += static_cast<int>(node.held.erase(refuse->message));
-      } else if (const auto* surrender = std::get_if<FailMessage>(&action)) {
-        node.held.erase(surrender->message);
+        dispatcher.wake = std::min(dispatcher.wake, timer->at);
+      } else if (const auto* reject = std::get_if<RejectMessage>(&action)) {
+        counts.rejected += static_cast<int>(dispatcher.messages.erase(reject->message));
+      } else if (const auto* fail = std::get_if<FailMessage>(&action)) {
+        dispatcher.messages.erase(fail->message);
       } else if (std::holds_alternative<StartHealthCheck>(action)) {
-        ++counts.probes;
-        const Outcome outcome = Reached();
-        ends.emplace(now + kLatency,
-                     std::pair(i, HealthCheckCompleted{1, outcome, kLatency, Report(outcome)}));
+        ++counts.health_checks;
+        const Outcome outcome = CallOutcome();
+        completions.emplace(now + kLatency, std::pair(i, HealthCheckCompleted{1, outcome, kLatency,
+                                                                              Report(outcome)}));
       } else if (const auto* send = std::get_if<SendAttempt>(&action)) {
         call.push_back(send->message);
-        if (call.size() == settings.kinds[0].max_batch) Carry(i, std::exchange(call, {}));
+        if (call.size() == settings.kinds[0].max_batch) SendCall(i, std::exchange(call, {}));
       }
     }
-    if (!call.empty()) Carry(i, call);
+    if (!call.empty()) SendCall(i, call);
   }
 
-  Outcome Reached() {
-    const Outcome outcome = partner.Take(now);
-    counts.above += outcome == Outcome::kRejected;
+  Outcome CallOutcome() {
+    const Outcome outcome = destination.HandleCall(now);
+    counts.above_limit += outcome == Outcome::kRejected;
     return outcome;
   }
 
   LoadReport Report(Outcome outcome) const {
     if (outcome == Outcome::kConnectFailed) return {};
-    return {1 - partner.used / partner.limit, reported_limit.value_or(partner.limit)};
+    return {1 - destination.used_calls / destination.limit,
+            reported_limit.value_or(destination.limit)};
   }
 
-  void Carry(std::size_t i, const std::vector<MessageId>& call) {
-    const Outcome outcome = Reached();
+  void SendCall(std::size_t i, const std::vector<MessageId>& call) {
+    const Outcome outcome = CallOutcome();
     ++counts.calls;
     counts.accepted += outcome == Outcome::kDelivered;
     for (const MessageId id : call) {
-      auto& [arrived, attempts] = nodes[i].held.at(id);
+      auto& [arrived, attempts] = dispatchers[i].messages.at(id);
       AttemptCompleted e;
       e.message = id;
       e.attempt = attempts++;
@@ -201,66 +206,66 @@
         ++counts.delivered;
         counts.in_time += now + kLatency - arrived <= 2500ms;
       }
-      ends.emplace(now + kLatency, std::pair(i, e));
-      if (e.finished) nodes[i].held.erase(id);
+      completions.emplace(now + kLatency, std::pair(i, e));
+      if (e.finished) dispatchers[i].messages.erase(id);
     }
   }
 
   const Settings settings;
-  std::vector<Node> nodes;
+  std::vector<Dispatcher> dispatchers;
   std::mt19937_64 random;
   std::uint64_t seed = 0;
   Time now = 1h;
   MessageId message = 0;
   Counts counts;
-  std::multimap<Time, std::pair<std::size_t, Event>> ends;
+  std::multimap<Time, std::pair<std::size_t, Event>> completions;
 };
 
 // ---- a limit that is lowered (join) ----
 
-TEST(Fleet, AHundredFitThemselvesIntoALimitThatFell) {
+TEST(Fleet, AHundredDispatchersAdaptToALoweredLimit) {
   Fleet fleet(100, 20, 150);
-  const Counts before = fleet.Play(6s);
+  const Counts before = fleet.Advance(6s);
   EXPECT_GT(before.delivered, before.arrived * 3 / 4);
-  fleet.partner.limit = 15;
-  const Counts lowered = fleet.Play(9s);
+  fleet.destination.limit = 15;
+  const Counts lowered = fleet.Advance(9s);
   // Calls above the limit use it up: without a pace that adds up to the limit nothing gets through.
   EXPECT_GT(lowered.accepted, 15 * 9 / 2);
-  EXPECT_LT(lowered.above, 180);
-  fleet.partner.limit = 60;
-  const Counts after = fleet.Play(8s);
+  EXPECT_LT(lowered.above_limit, 180);
+  fleet.destination.limit = 60;
+  const Counts after = fleet.Advance(8s);
   EXPECT_GT(after.delivered, after.arrived) << "the backlog goes once there is room again";
 }
 
-TEST(Fleet, AHundredGoBelowALimitThatIsReportedTooHigh) {
+TEST(Fleet, AHundredDispatchersStayBelowALimitThatIsReportedTooHigh) {
   Fleet fleet(100, 20, 150);
-  fleet.Play(6s);
-  fleet.partner.limit = 15;
+  fleet.Advance(6s);
+  fleet.destination.limit = 15;
   fleet.reported_limit = 40;
-  const Counts lowered = fleet.Play(12s);
+  const Counts lowered = fleet.Advance(12s);
   EXPECT_GT(lowered.accepted, 15 * 12 / 3);
-  EXPECT_LT(lowered.above, 350);
+  EXPECT_LT(lowered.above_limit, 350);
 }
 
-TEST(Fleet, AHundredTakeUpALimitThatIsLiftedAsSoonAsTheyAreTold) {
+TEST(Fleet, AHundredDispatchersUseARaisedLimitAsSoonAsItIsReported) {
   Fleet fleet(100, 20, 150);
-  fleet.partner.limit = 15;
-  fleet.Play(12s);
-  fleet.partner.limit = 60;
-  const Counts lifted = fleet.Play(4s);
-  EXPECT_GT(lifted.delivered, lifted.arrived);
+  fleet.destination.limit = 15;
+  fleet.Advance(12s);
+  fleet.destination.limit = 60;
+  const Counts raised = fleet.Advance(4s);
+  EXPECT_GT(raised.delivered, raised.arrived);
 }
 
-TEST(Fleet, AClumpAboveASmallLimitLeavesItRoomSoon) {
+TEST(Fleet, ABurstAboveASmallLimitEndsSoon) {
   Fleet fleet(100, 1, 25);
-  fleet.partner.limit = 28;
-  fleet.Play(8s);
+  fleet.destination.limit = 28;
+  fleet.Advance(8s);
   fleet.rate = 100;
-  const Counts clump = fleet.Play(3s);
+  const Counts burst = fleet.Advance(3s);
   fleet.rate = 25;
-  const Counts after = fleet.Play(13s);
-  EXPECT_LT(clump.above + after.above, 155);
-  EXPECT_GT(clump.accepted + after.accepted, 28 * 16 * 8 / 10);
+  const Counts after = fleet.Advance(13s);
+  EXPECT_LT(burst.above_limit + after.above_limit, 155);
+  EXPECT_GT(burst.accepted + after.accepted, 28 * 16 * 8 / 10);
 }
 
 // ---- destinations that are down and come back cold (zone) ----
@@ -271,39 +276,40 @@
   return 60 * 1.15 * (0.31 + 0.69 * std::min(1.0, SecondsOf(back) / 9));
 }
 
-TEST(Fleet, AHundredStayBelowWhatTopplesAColdDestinationAndUseItAtOnce) {
+TEST(Fleet, AHundredDispatchersUseAColdDestinationAtOnceWithoutOverload) {
   Fleet fleet(100, 1, 40);
-  fleet.Play(6s);
-  fleet.partner.down = true;
-  const Counts outage = fleet.Play(5s);
-  EXPECT_LT(outage.calls + outage.probes, 200);
-  fleet.partner.down = false;
-  int before = 0, delivered = 0, arrived = 0, probes = 0;
+  fleet.Advance(6s);
+  fleet.destination.down = true;
+  const Counts outage = fleet.Advance(5s);
+  EXPECT_LT(outage.calls + outage.health_checks, 200);
+  fleet.destination.down = false;
+  int before = 0, delivered = 0, arrived = 0, health_checks = 0;
   for (Duration back = 0s; back < 9s; back += 1s) {
-    const Counts now = fleet.Play(1s);
-    EXPECT_LT(now.calls + now.probes + before, 2 * 1.5 * CapacityAt(back)) << SecondsOf(back);
-    before = now.calls + now.probes;
+    const Counts now = fleet.Advance(1s);
+    EXPECT_LT(now.calls + now.health_checks + before, 2 * 1.5 * CapacityAt(back))
+        << SecondsOf(back);
+    before = now.calls + now.health_checks;
     delivered += now.delivered;
     arrived += now.arrived;
-    probes += now.probes;
+    health_checks += now.health_checks;
   }
   EXPECT_GT(delivered, arrived * 4 / 10) << "trials deliver messages";
-  EXPECT_LT(probes, 20);
-  const Counts warm = fleet.Play(15s);
-  EXPECT_LT(warm.above, 60) << "its limit stands when all take it for warm";
+  EXPECT_LT(health_checks, 20);
+  const Counts warm = fleet.Advance(15s);
+  EXPECT_LT(warm.above_limit, 60) << "its limit stands when all take it for warm";
 }
 
 // ---- most are killed at once and come back with what they owe (herd) ----
 
-TEST(Fleet, SeventyOfAHundredComeBackWithAllThatTheyOweWithinTheLimit) {
+TEST(Fleet, SeventyOfAHundredDispatchersRestartWithTheirBacklogWithinTheLimit) {
   Fleet fleet(100, 1, 40);
-  fleet.partner.limit = 25;
-  fleet.Play(8s);
-  for (std::size_t i = 0; i < 70; ++i) fleet.Kill(i);
-  fleet.Play(1s);
+  fleet.destination.limit = 25;
+  fleet.Advance(8s);
+  for (std::size_t i = 0; i < 70; ++i) fleet.Stop(i);
+  fleet.Advance(1s);
   for (std::size_t i = 0; i < 70; ++i) fleet.Start(i);
-  const Counts back = fleet.Play(6s);
-  EXPECT_LT(back.above, 140);
+  const Counts back = fleet.Advance(6s);
+  EXPECT_LT(back.above_limit, 140);
   EXPECT_GT(back.accepted, 25 * 6 * 7 / 10);
 }
 
--- a/tests/policy/invalid_input_test.cpp
+++ b/tests/policy/invalid_input_test.cpp
@@ -23,7 +23,7 @@
 
 TEST(InvalidInput, GivesMessagesUpAtOnceOnARetryAfterPastTheirDeadlines) {
   PolicyDriver driver;
-  driver.At(0s, {One(), Arrive(1)});
+  driver.At(0s, {OneEndpoint(), Arrive(1)});
   ASSERT_EQ(driver.ActionsOf<SendAttempt>().size(), 1u);
   AttemptCompleted full = driver.End(1, Outcome::kRejected);
   full.retry_after = 3600s;
@@ -35,7 +35,7 @@
 
 TEST(InvalidInput, KeepsMessagesOnARetryAfterWithinTheirDeadlines) {
   PolicyDriver driver;
-  driver.At(0s, {One(), Arrive(1)});
+  driver.At(0s, {OneEndpoint(), Arrive(1)});
   AttemptCompleted full = driver.End(1, Outcome::kRejected);
   full.retry_after = 2s;
   driver.At(100ms, {full, Arrive(2)});
--- a/tests/policy/invariants_test.cpp
+++ b/tests/policy/invariants_test.cpp
@@ -48,23 +48,23 @@
   return s;
 }
 
-struct Sent {
+struct SentAttempt {
   EndpointId endpoint = 0;
   Time at{};
   Time times_out{};
-  Time settles{};
+  Time completes{};
   std::uint64_t call = 0;
-  bool out = true;
+  bool in_flight = true;
   Outcome outcome{};
 };
 
-struct Held {
-  MessageArrived announced;
+struct TrackedMessage {
+  MessageArrived arrived;
   Time deadline{};
-  std::vector<Sent> sent;
+  std::vector<SentAttempt> sent;
   std::optional<Time> may_have_run;
   EndpointId ran_on_endpoint = 0;
-  bool over = false;
+  bool finished = false;
 };
 
 bool ProvesNotRun(Outcome o) {
@@ -72,14 +72,14 @@
          o == Outcome::kConnectionLimitReached;
 }
 
-bool Doubt(Outcome o) {
+bool MayStillRun(Outcome o) {
   return o == Outcome::kTimeout || o == Outcome::kReset || o == Outcome::kCancelled;
 }
 
-class World {
+class Simulation {
  public:
-  explicit World(std::uint64_t seed)
-      : random_(seed), set_(RandomSettings(random_)), policy_(set_, seed) {
+  explicit Simulation(std::uint64_t seed)
+      : random_(seed), settings_(RandomSettings(random_)), policy_(settings_, seed) {
     for (EndpointId id = 0; id < 6; ++id) {
       entries_[id] = {id, id / 2, id / 2 % 2, id % 2, EndpointState::kListed, 1};
     }
@@ -87,9 +87,9 @@
 
   void Run() {
     SendList(ListForm::kComplete);
-    for (now_ = 1s; now_ < 20s; now_ += set_.decision_interval) {
-      if (now_ < 15s) Happen();
-      Settle();
+    for (now_ = 1s; now_ < 20s; now_ += settings_.decision_interval) {
+      if (now_ < 15s) DrawEvents();
+      CompleteAttempts();
       if (timer_ && *timer_ <= now_) {
         events_.push_back(TimerFired{0});
         timer_.reset();
@@ -98,44 +98,44 @@
       const std::vector<Action> actions = policy_.Decide(now_, events_);
       events_.clear();
       for (const Action& a : actions) std::visit([this](const auto& x) { Check(x); }, a);
-      calls_of_turn_.clear();
+      calls_of_decision_.clear();
       if (testing::Test::HasFailure()) return;
     }
-    for (const auto& [id, m] : held_) EXPECT_TRUE(m.over) << "lost " << id;
+    for (const auto& [id, m] : messages_) EXPECT_TRUE(m.finished) << "lost " << id;
   }
 
   int sends() const { return sends_; }
 
  private:
-  void Happen() {
+  void DrawEvents() {
     const std::size_t arrivals = random_() % 20 == 0 ? 1 + random_() % 6 : 0;
     for (std::size_t i = 0; i < arrivals; ++i) {
-      Held m;
-      m.announced = {next_++, random_() % 4, random_() % 3, 0, 0ms, ""};
-      m.announced.time_left =
-          set_.classes[m.announced.message_class].deadline / (1 + random_() % 2);
-      if (random_() % 3 > 0)
-        m.announced.key = std::string(1, static_cast<char>('a' + random_() % 4));
-      m.deadline = now_ + m.announced.time_left;
-      events_.push_back(m.announced);
-      if (set_.classes[m.announced.message_class].ordered && !m.announced.key.empty()) {
-        lines_[m.announced.key].push_back(m.announced.message);
+      TrackedMessage m;
+      m.arrived = {next_++, random_() % 4, random_() % 3, 0, 0ms, ""};
+      m.arrived.time_left =
+          settings_.classes[m.arrived.message_class].deadline / (1 + random_() % 2);
+      if (random_() % 3 > 0) m.arrived.key = std::string(1, static_cast<char>('a' + random_() % 4));
+      m.deadline = now_ + m.arrived.time_left;
+      events_.push_back(m.arrived);
+      if (settings_.classes[m.arrived.message_class].ordered && !m.arrived.key.empty()) {
+        queues_[m.arrived.key].push_back(m.arrived.message);
       }
-      held_[m.announced.message] = std::move(m);
+      messages_[m.arrived.message] = std::move(m);
     }
     if (random_() % 100 == 0) {
       EndpointEntry& e = entries_[random_() % entries_.size()];
       e.state = static_cast<EndpointState>(random_() % 3);
       SendList(random_() % 2 == 0 ? ListForm::kComplete : ListForm::kChanges);
     }
-    if (random_() % 400 == 0 && !held_.empty()) {
-      Held& m = held_[random_() % next_];
-      if (!m.over) {
-        m.over = true;
-        events_.push_back(MessageCancelled{m.announced.message});
+    if (random_() % 400 == 0 && !messages_.empty()) {
+      TrackedMessage& m = messages_[random_() % next_];
+      if (!m.finished) {
+        m.finished = true;
+        events_.push_back(MessageCancelled{m.arrived.message});
       }
     }
-    if (random_() % 50 == 0) bias_ = static_cast<int>(random_() % 7);  // a trouble comes or goes
+    if (random_() % 50 == 0)
+      failure_mode_ = static_cast<int>(random_() % 7);  // a trouble comes or goes
   }
 
   void SendList(ListForm form) {
@@ -148,37 +148,37 @@
     events_.push_back(list);
   }
 
-  void Settle() {
-    for (auto& [id, m] : held_) {
+  void CompleteAttempts() {
+    for (auto& [id, m] : messages_) {
       for (std::size_t i = 0; i < m.sent.size(); ++i) {
-        Sent& s = m.sent[i];
-        if (!s.out || s.settles > now_) continue;
-        s.out = false;
+        SentAttempt& s = m.sent[i];
+        if (!s.in_flight || s.completes > now_) continue;
+        s.in_flight = false;
         AttemptCompleted e;
         e.message = id;
         e.attempt = i;
         e.endpoint = s.endpoint;
         e.outcome = s.outcome;
         e.elapsed = now_ - s.at;
-        if (s.outcome == Outcome::kDelivered) m.over = true;
+        if (s.outcome == Outcome::kDelivered) m.finished = true;
         if (s.outcome == Outcome::kRejected && random_() % 2 == 0) {
           e.retry_after = std::chrono::milliseconds(50 + random_() % 3000);
           const EndpointEntry& where = entries_.at(s.endpoint);
-          const bool apart = set_.kinds[where.kind].per_endpoint_limits;
-          Time& wait = waits_[apart ? 1000 + where.endpoint : where.destination];
+          const bool per_endpoint = settings_.kinds[where.kind].per_endpoint_limits;
+          Time& wait = retry_after_ends_[per_endpoint ? 1000 + where.endpoint : where.destination];
           wait = std::max(wait, now_ + e.retry_after);
         }
         if (!ProvesNotRun(s.outcome) && s.outcome != Outcome::kDelivered && !m.may_have_run) {
           m.may_have_run = s.at;
           m.ran_on_endpoint = s.endpoint;
         }
-        if (Doubt(s.outcome) && set_.classes[m.announced.message_class].ordered)
-          rests_[m.announced.key] = now_ + set_.ordering_cooldown;
-        e.finished = m.over;
+        if (MayStillRun(s.outcome) && settings_.classes[m.arrived.message_class].ordered)
+          cooldowns_[m.arrived.key] = now_ + settings_.ordering_cooldown;
+        e.finished = m.finished;
         events_.push_back(e);
       }
     }
-    for (auto it = probes_.begin(); it != probes_.end();) {
+    for (auto it = health_checks_.begin(); it != health_checks_.end();) {
       if (it->second > now_) {
         ++it;
         continue;
@@ -187,28 +187,28 @@
       e.endpoint = it->first;
       e.outcome = random_() % 2 == 0 ? Outcome::kDelivered : Outcome::kTimeout;
       events_.push_back(e);
-      it = probes_.erase(it);
+      it = health_checks_.erase(it);
     }
   }
 
-  Time WaitOf(EndpointId id) {
+  Time RetryAfterEnd(EndpointId id) {
     const EndpointEntry& e = entries_.at(id);
-    return std::max(waits_[e.destination], waits_[1000 + e.endpoint]);
+    return std::max(retry_after_ends_[e.destination], retry_after_ends_[1000 + e.endpoint]);
   }
 
   void Check(const SendAttempt& a) {
     ++sends_;
-    ASSERT_TRUE(held_.count(a.message));
-    Held& m = held_[a.message];
-    const ClassSettings& c = set_.classes[m.announced.message_class];
+    ASSERT_TRUE(messages_.count(a.message));
+    TrackedMessage& m = messages_[a.message];
+    const ClassSettings& c = settings_.classes[m.arrived.message_class];
     const EndpointEntry& e = entries_.at(a.endpoint);
-    EXPECT_FALSE(m.over) << "sent after its final answer";
-    EXPECT_EQ(e.destination, m.announced.destination);
+    EXPECT_FALSE(m.finished) << "sent after its final answer";
+    EXPECT_EQ(e.destination, m.arrived.destination);
     EXPECT_EQ(e.state, EndpointState::kListed) << "drain";
-    EXPECT_LE(WaitOf(a.endpoint), now_) << "wait";
+    EXPECT_LE(RetryAfterEnd(a.endpoint), now_) << "wait";
     EXPECT_GT(a.timeout, 0ms);
-    EXPECT_LT(m.sent.size(), set_.max_attempts);
-    for (const Sent& s : m.sent) EXPECT_FALSE(s.out) << "two attempts at once";
+    EXPECT_LT(m.sent.size(), settings_.max_attempts);
+    for (const SentAttempt& s : m.sent) EXPECT_FALSE(s.in_flight) << "two attempts at once";
     if (m.may_have_run) {
       EXPECT_NE(c.effect, Effect::kNotIdempotent) << "effect twice";
       if (c.effect == Effect::kIdempotentWithKey) {
@@ -218,85 +218,87 @@
         }
       }
     }
-    if (c.ordered && !m.announced.key.empty()) {
-      for (MessageId id : lines_[m.announced.key]) {
+    if (c.ordered && !m.arrived.key.empty()) {
+      for (MessageId id : queues_[m.arrived.key]) {
         if (id == a.message) break;
-        EXPECT_TRUE(held_[id].over) << "order";
-        for (const Sent& s : held_[id].sent) EXPECT_FALSE(s.out) << "order, attempt out";
+        EXPECT_TRUE(messages_[id].finished) << "order";
+        for (const SentAttempt& s : messages_[id].sent)
+          EXPECT_FALSE(s.in_flight) << "order, attempt out";
       }
       if (m.sent.empty()) {
-        EXPECT_LE(rests_[m.announced.key], now_) << "rest";
+        EXPECT_LE(cooldowns_[m.arrived.key], now_) << "rest";
       }
     }
-    Sent s;
+    SentAttempt s;
     s.endpoint = a.endpoint;
     s.at = now_;
     s.times_out = now_ + a.timeout;
-    std::pair<std::uint64_t, std::size_t>& call = calls_of_turn_[a.endpoint];
-    if (call.second % set_.kinds[e.kind].max_batch == 0) {
+    std::pair<std::uint64_t, std::size_t>& call = calls_of_decision_[a.endpoint];
+    if (call.second % settings_.kinds[e.kind].max_batch == 0) {
       call.first = ++calls_;
-      drawn_ = Draw();
-      delay_ = std::chrono::milliseconds(20 + random_() % 400);
+      call_outcome_ = DrawOutcome();
+      call_duration_ = std::chrono::milliseconds(20 + random_() % 400);
     }
     ++call.second;
     s.call = call.first;
-    s.outcome = drawn_;
-    s.settles = now_ + delay_;
-    if (drawn_ == Outcome::kTimeout) s.settles = s.times_out;
-    if (s.settles > s.times_out) {
-      s.settles = s.times_out;
+    s.outcome = call_outcome_;
+    s.completes = now_ + call_duration_;
+    if (call_outcome_ == Outcome::kTimeout) s.completes = s.times_out;
+    if (s.completes > s.times_out) {
+      s.completes = s.times_out;
       s.outcome = Outcome::kTimeout;
     }
     m.sent.push_back(s);
-    std::set<std::uint64_t> out;
-    for (const auto& [id, other] : held_) {
-      for (const Sent& x : other.sent) {
-        if (x.out) out.insert(x.call);
+    std::set<std::uint64_t> in_flight;
+    for (const auto& [id, other] : messages_) {
+      for (const SentAttempt& x : other.sent) {
+        if (x.in_flight) in_flight.insert(x.call);
       }
     }
-    EXPECT_LE(out.size(), set_.max_concurrent_calls);
+    EXPECT_LE(in_flight.size(), settings_.max_concurrent_calls);
   }
 
-  Outcome Draw() {
-    if (bias_ < 3) {
+  Outcome DrawOutcome() {
+    if (failure_mode_ < 3) {
       return random_() % 10 == 0 ? static_cast<Outcome>(1 + random_() % 5) : Outcome::kDelivered;
     }
-    return random_() % 5 == 0 ? Outcome::kDelivered : static_cast<Outcome>(bias_ - 2);
+    return random_() % 5 == 0 ? Outcome::kDelivered : static_cast<Outcome>(failure_mode_ - 2);
   }
 
-  void Final(MessageId id) {
-    ASSERT_TRUE(held_.count(id));
-    EXPECT_FALSE(held_[id].over) << "a second answer";
-    EXPECT_LE(now_, held_[id].deadline) << "too late";
-    held_[id].over = true;
+  void RecordFinalAnswer(MessageId id) {
+    ASSERT_TRUE(messages_.count(id));
+    EXPECT_FALSE(messages_[id].finished) << "a second answer";
+    EXPECT_LE(now_, messages_[id].deadline) << "too late";
+    messages_[id].finished = true;
   }
 
   void Check(const RejectMessage& a) {
-    Final(a.message);
-    const Held& m = held_[a.message];
-    const ClassSettings& c = set_.classes[m.announced.message_class];
-    const bool ran = m.may_have_run ||
-                     std::any_of(m.sent.begin(), m.sent.end(), [](const Sent& s) { return s.out; });
+    RecordFinalAnswer(a.message);
+    const TrackedMessage& m = messages_[a.message];
+    const ClassSettings& c = settings_.classes[m.arrived.message_class];
+    const bool may_have_run =
+        m.may_have_run ||
+        std::any_of(m.sent.begin(), m.sent.end(), [](const SentAttempt& s) { return s.in_flight; });
     const bool harmless =
         c.effect == Effect::kIdempotent ||
         (c.effect == Effect::kIdempotentWithKey && c.dedup_scope == DedupScope::kDestination);
-    EXPECT_TRUE(!ran || harmless) << "refused though it may have run";
-    EXPECT_LE(a.retry_after, set_.clients_honor_retry_after ? set_.max_retry_after : 0ms);
+    EXPECT_TRUE(!may_have_run || harmless) << "refused though it may have run";
+    EXPECT_LE(a.retry_after, settings_.clients_honor_retry_after ? settings_.max_retry_after : 0ms);
   }
-  void Check(const FailMessage& a) { Final(a.message); }
+  void Check(const FailMessage& a) { RecordFinalAnswer(a.message); }
   void Check(const CancelAttempt& a) {
-    EXPECT_TRUE(set_.cancel_allowed);
-    ASSERT_LT(a.attempt, held_[a.message].sent.size());
-    Sent& s = held_[a.message].sent[a.attempt];
+    EXPECT_TRUE(settings_.cancel_allowed);
+    ASSERT_LT(a.attempt, messages_[a.message].sent.size());
+    SentAttempt& s = messages_[a.message].sent[a.attempt];
     s.outcome = Outcome::kCancelled;
-    s.settles = now_ + 5ms;
+    s.completes = now_ + 5ms;
   }
   void Check(const StartHealthCheck& a) {
-    EXPECT_TRUE(set_.health_checks_allowed);
+    EXPECT_TRUE(settings_.health_checks_allowed);
     EXPECT_EQ(entries_.at(a.endpoint).state, EndpointState::kListed);
-    EXPECT_LE(WaitOf(a.endpoint), now_) << "wait";
-    EXPECT_FALSE(probes_.count(a.endpoint));
-    probes_[a.endpoint] = now_ + 50ms;
+    EXPECT_LE(RetryAfterEnd(a.endpoint), now_) << "wait";
+    EXPECT_FALSE(health_checks_.count(a.endpoint));
+    health_checks_[a.endpoint] = now_ + 50ms;
   }
   void Check(const SetTimer& a) {
     EXPECT_GT(a.at, now_);
@@ -306,32 +308,32 @@
   void Check(const LogMessage&) { EXPECT_LE(++logs_, 60); }
 
   std::mt19937_64 random_;
-  Settings set_;
+  Settings settings_;
   DispatchPolicy policy_;
   Time now_{};
   std::vector<Event> events_;
   std::map<EndpointId, EndpointEntry> entries_;
-  std::map<MessageId, Held> held_;
-  std::map<std::string, std::vector<MessageId>> lines_;
-  std::map<std::string, Time> rests_;
-  std::map<std::uint64_t, Time> waits_;
-  std::map<EndpointId, Time> probes_;
-  std::map<EndpointId, std::pair<std::uint64_t, std::size_t>> calls_of_turn_;
+  std::map<MessageId, TrackedMessage> messages_;
+  std::map<std::string, std::vector<MessageId>> queues_;
+  std::map<std::string, Time> cooldowns_;
+  std::map<std::uint64_t, Time> retry_after_ends_;
+  std::map<EndpointId, Time> health_checks_;
+  std::map<EndpointId, std::pair<std::uint64_t, std::size_t>> calls_of_decision_;
   std::optional<Time> timer_;
   std::uint64_t version_ = 0, calls_ = 0;
   MessageId next_ = 0;
-  int bias_ = 0, sends_ = 0, logs_ = 0;
-  Outcome drawn_ = Outcome::kDelivered;
-  Duration delay_{};
+  int failure_mode_ = 0, sends_ = 0, logs_ = 0;
+  Outcome call_outcome_ = Outcome::kDelivered;
+  Duration call_duration_{};
 };
 
-TEST(Invariants, RulesHoldUnderRandomLegalEvents) {
+TEST(Invariants, RulesHoldUnderRandomValidEvents) {
   int sends = 0;
   for (std::uint64_t seed = 1; seed <= 40 && !HasFailure(); ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    World world(seed);
-    world.Run();
-    sends += world.sends();
+    Simulation simulation(seed);
+    simulation.Run();
+    sends += simulation.sends();
   }
   EXPECT_GT(sends, 3000) << "the worlds must exercise the module";
 }
--- a/tests/policy/message_ledger_test.cpp
+++ b/tests/policy/message_ledger_test.cpp
@@ -11,14 +11,14 @@
   EXPECT_TRUE(driver.ActionsOf<RejectMessage>().empty()) << "held: an endpoint may still be listed";
   driver.At(21s);
   EXPECT_EQ(driver.ActionsOf<RejectMessage>().size(), 1u);
-  driver.At(22s, {One()});
+  driver.At(22s, {OneEndpoint()});
   EXPECT_TRUE(driver.ActionsOf<SendAttempt>().empty());
 }
 
 TEST(MessageLedger, RetriesANonIdempotentMessageOnlyIfItNeverRan) {
   for (Outcome o : {Outcome::kRejected, Outcome::kConnectFailed, Outcome::kNotSent}) {
     PolicyDriver driver;
-    driver.At(1s, {One(), Arrive(1, kNotIdempotent)});
+    driver.At(1s, {OneEndpoint(), Arrive(1, kNotIdempotent)});
     driver.At(2s, {driver.End(1, o)});
     driver.At(4s);
     EXPECT_TRUE(driver.ActionsOf<FailMessage>().empty());
@@ -26,7 +26,7 @@
   }
   for (Outcome o : {Outcome::kError, Outcome::kTimeout, Outcome::kReset, Outcome::kCancelled}) {
     PolicyDriver driver;
-    driver.At(1s, {One(), Arrive(1, kNotIdempotent)});
+    driver.At(1s, {OneEndpoint(), Arrive(1, kNotIdempotent)});
     driver.At(2s, {driver.End(1, o)});
     EXPECT_EQ(driver.ActionsOf<FailMessage>().size(), 1u) << "at once";
     EXPECT_TRUE(driver.ActionsOf<RejectMessage>().empty());
@@ -37,7 +37,7 @@
 
 TEST(MessageLedger, RetriesWithAnIdempotencyKeyOnlyWithinTheDedupWindow) {
   PolicyDriver driver;
-  driver.At(1s, {One(), Arrive(1, kOrdered)});
+  driver.At(1s, {OneEndpoint(), Arrive(1, kOrdered)});
   driver.At(2s, {driver.End(1, Outcome::kError)});
   driver.At(3s);
   EXPECT_EQ(driver.attempts[1], 2u);
@@ -51,7 +51,7 @@
   Settings settings = TestSettings();
   settings.classes[kOrdered].dedup_scope = DedupScope::kZone;
   PolicyDriver driver(settings);
-  driver.At(1s, {One(), Arrive(1, kOrdered)});
+  driver.At(1s, {OneEndpoint(), Arrive(1, kOrdered)});
   driver.At(2s, {driver.End(1, Outcome::kError),
                  Listed({{.endpoint = 2, .destination = 1, .zone = 1}}, 2)});
   driver.At(3s);
@@ -62,7 +62,7 @@
 
 TEST(MessageLedger, SendsAnOrderedKeyOneByOneAndWaitsAfterAnUnknownOutcome) {
   PolicyDriver driver;
-  driver.At(1s, {One(), Arrive(1, kOrdered, 1, "k"), Arrive(2, kOrdered, 1, "k")});
+  driver.At(1s, {OneEndpoint(), Arrive(1, kOrdered, 1, "k"), Arrive(2, kOrdered, 1, "k")});
   EXPECT_EQ(driver.attempts[1], 1u);
   EXPECT_EQ(driver.attempts[2], 0u);
   AttemptCompleted end = driver.End(1, Outcome::kTimeout);
@@ -77,7 +77,7 @@
 
 TEST(MessageLedger, WaitsForAttemptsOfFinishedMessagesOfAnOrderedKey) {
   PolicyDriver driver;
-  driver.At(1s, {One(), Arrive(1, kOrdered, 1, "k"), Arrive(2, kOrdered, 1, "k")});
+  driver.At(1s, {OneEndpoint(), Arrive(1, kOrdered, 1, "k"), Arrive(2, kOrdered, 1, "k")});
   driver.At(2s, {MessageCancelled{1}});
   driver.At(3s);
   EXPECT_EQ(driver.attempts[2], 0u) << "the cancelled attempt is still out";
@@ -90,7 +90,7 @@
   Settings settings = TestSettings();
   settings.max_attempts = 2;
   PolicyDriver driver(settings);
-  driver.At(1s, {One(), Arrive(1)});
+  driver.At(1s, {OneEndpoint(), Arrive(1)});
   driver.At(2s, {driver.End(1, Outcome::kRejected)});
   driver.At(4s);
   ASSERT_EQ(driver.attempts[1], 2u);
--- a/tests/policy/peer_reports_test.cpp
+++ b/tests/policy/peer_reports_test.cpp
@@ -6,49 +6,50 @@
 namespace {
 
 // Calls to endpoint 1 from `from` to `to`, a message each tenth of a second, all delivered.
-int CallsWhileAllIsWell(PolicyDriver& driver, Time from, Time to, MessageId& next) {
-  return CallsWhileAllEnd(driver, Outcome::kDelivered, from, to, next);
+int CallsWhileAllAreDelivered(PolicyDriver& driver, Time from, Time to, MessageId& next) {
+  return CallsWhileAllEndWith(driver, Outcome::kDelivered, from, to, next);
 }
 
 TEST(PeerReports, FollowsALeasedRateUntilItEnds) {
   PolicyDriver driver;
   MessageId next = 1;
-  driver.At(900ms, {One(), QuotaLeased{1, 2.0}});
-  const int leased = CallsWhileAllIsWell(driver, 1s, 5s, next);
+  driver.At(900ms, {OneEndpoint(), QuotaLeased{1, 2.0}});
+  const int leased = CallsWhileAllAreDelivered(driver, 1s, 5s, next);
   EXPECT_GE(leased, 7);
   EXPECT_LE(leased, 9);
   PolicyDriver over;
   next = 1;
-  over.At(900ms, {One(), QuotaLeased{1, 2.0}, QuotaLeased{1, std::nullopt}});
-  EXPECT_GE(CallsWhileAllIsWell(over, 1s, 5s, next), 40);
+  over.At(900ms, {OneEndpoint(), QuotaLeased{1, 2.0}, QuotaLeased{1, std::nullopt}});
+  EXPECT_GE(CallsWhileAllAreDelivered(over, 1s, 5s, next), 40);
 }
 
 TEST(PeerReports, LimitsToOneCallOnOneWitnessOfAnOutageAndOpensOnTwo) {
   PolicyDriver driver;
-  driver.At(1s, {One(), PeerHealthReport{.endpoint = 1, .health = PeerHealth::kFailing}, Arrive(1),
-                 Arrive(2)});
+  driver.At(1s, {OneEndpoint(), PeerHealthReport{.endpoint = 1, .health = PeerHealth::kFailing},
+                 Arrive(1), Arrive(2)});
   ASSERT_EQ(driver.ActionsOf<SendAttempt>().size(), 1u);  // the cheap check
   driver.At(1100ms, {driver.End(driver.ActionsOf<SendAttempt>()[0].message, Outcome::kDelivered),
                      Arrive(3), Arrive(4)});
   EXPECT_EQ(driver.ActionsOf<SendAttempt>().size(), 3u);  // it was wrong
 
-  PolicyDriver sure;
+  PolicyDriver confirmed;
   MessageId next = 1;
-  sure.At(1s,
-          {One(), PeerHealthReport{.endpoint = 1, .health = PeerHealth::kFailing, .witnesses = 2}});
+  confirmed.At(1s,
+               {OneEndpoint(),
+                PeerHealthReport{.endpoint = 1, .health = PeerHealth::kFailing, .witnesses = 2}});
   const auto fail = [&](Time, const SendAttempt& send) {
-    return sure.End(send.message, Outcome::kError);
+    return confirmed.End(send.message, Outcome::kError);
   };
   int calls = 0;
   Drive(
-      sure, 1s, 6s, [&] { return Arrive(next++); },
+      confirmed, 1s, 6s, [&] { return Arrive(next++); },
       [&](Time t, const SendAttempt& send) { return ++calls, fail(t, send); });
   EXPECT_LE(calls, 15);
 }
 
 TEST(PeerReports, PrefersItsOwnLaterAnswer) {
   PolicyDriver driver;
-  driver.At(1s, {One(), Arrive(1)});
+  driver.At(1s, {OneEndpoint(), Arrive(1)});
   driver.At(1100ms, {driver.End(1, Outcome::kDelivered)});
   driver.At(1200ms,
             {PeerHealthReport{
@@ -60,10 +61,10 @@
 TEST(PeerReports, AppliesARetryAfterOfTwoWitnessesUpToTheLongestDeadline) {
   const auto sent = [](std::size_t witnesses, Time at) {
     PolicyDriver driver;
-    driver.At(1s, {One(), PeerHealthReport{.endpoint = 1,
-                                           .health = PeerHealth::kRetryAfter,
-                                           .duration = 1h,
-                                           .witnesses = witnesses}});
+    driver.At(1s, {OneEndpoint(), PeerHealthReport{.endpoint = 1,
+                                                   .health = PeerHealth::kRetryAfter,
+                                                   .duration = 1h,
+                                                   .witnesses = witnesses}});
     driver.At(at, {Arrive(1)});
     return driver.ActionsOf<SendAttempt>().size();
   };
@@ -75,20 +76,21 @@
 TEST(PeerReports, SlowStartsAnEndpointThatIsBackAndWaitsForAnotherTrial) {
   PolicyDriver warm, cold;
   MessageId next = 1;
-  warm.At(900ms, {One()});
-  const int usual = CallsWhileAllIsWell(warm, 1s, 4s, next);
-  cold.At(900ms, {One(), PeerHealthReport{
-                             .endpoint = 1, .health = PeerHealth::kWarmingUp, .witnesses = 9}});
-  EXPECT_LT(CallsWhileAllIsWell(cold, 1s, 4s, next), usual / 2);
+  warm.At(900ms, {OneEndpoint()});
+  const int usual = CallsWhileAllAreDelivered(warm, 1s, 4s, next);
+  cold.At(900ms,
+          {OneEndpoint(),
+           PeerHealthReport{.endpoint = 1, .health = PeerHealth::kWarmingUp, .witnesses = 9}});
+  EXPECT_LT(CallsWhileAllAreDelivered(cold, 1s, 4s, next), usual / 2);
 
   PolicyDriver waits;
   next = 1;
-  waits.At(900ms, {One()});
-  CallsWhileAllEnd(waits, Outcome::kConnectFailed, 1s, 5s, next);
+  waits.At(900ms, {OneEndpoint()});
+  CallsWhileAllEndWith(waits, Outcome::kConnectFailed, 1s, 5s, next);
   waits.At(5s,
            {PeerHealthReport{.endpoint = 1, .health = PeerHealth::kBeingTested, .duration = 1h}});
-  EXPECT_EQ(CallsWhileAllEnd(waits, Outcome::kConnectFailed, 5s, 6900ms, next), 0);
-  EXPECT_GT(CallsWhileAllEnd(waits, Outcome::kConnectFailed, 7s, 12s, next), 0);  // a bound
+  EXPECT_EQ(CallsWhileAllEndWith(waits, Outcome::kConnectFailed, 5s, 6900ms, next), 0);
+  EXPECT_GT(CallsWhileAllEndWith(waits, Outcome::kConnectFailed, 7s, 12s, next), 0);  // a bound
 }
 
 // Less careful: a word that it serves brings a trial forward, and two of them the slow start.
@@ -96,12 +98,12 @@
   const auto calls = [](std::size_t witnesses) {
     PolicyDriver driver;
     MessageId next = 1;
-    driver.At(900ms, {One()});
-    CallsWhileAllEnd(driver, Outcome::kConnectFailed, 1s, 5s, next);
+    driver.At(900ms, {OneEndpoint()});
+    CallsWhileAllEndWith(driver, Outcome::kConnectFailed, 1s, 5s, next);
     driver.At(5s, {PeerHealthReport{
                       .endpoint = 1, .health = PeerHealth::kServing, .witnesses = witnesses}});
     EXPECT_EQ(Logged(driver, "recovering"), witnesses > 1);
-    return CallsWhileAllIsWell(driver, 5s, 6s, next);
+    return CallsWhileAllAreDelivered(driver, 5s, 6s, next);
   };
   EXPECT_GT(calls(1), 0);
   EXPECT_GT(calls(2), 0);
--- a/tests/policy/policy_fixture.hpp
+++ b/tests/policy/policy_fixture.hpp
@@ -94,7 +94,7 @@
   return {version, ListForm::kComplete, std::move(entries)};
 }
 
-inline EndpointList One() { return Listed({{.endpoint = 1, .destination = 1}}); }
+inline EndpointList OneEndpoint() { return Listed({{.endpoint = 1, .destination = 1}}); }
 
 // Submits a message each tenth of a second; each call has ended by the next one as `end` says.
 // Returns the outcomes that the policy was not given yet.
@@ -113,8 +113,8 @@
 
 // Submits an idempotent message each tenth of a second and ends every call alike; returns how many
 // calls there were.
-inline int CallsWhileAllEnd(PolicyDriver& driver, Outcome outcome, Time from, Time to,
-                            MessageId& next) {
+inline int CallsWhileAllEndWith(PolicyDriver& driver, Outcome outcome, Time from, Time to,
+                                MessageId& next) {
   int calls = 0;
   const auto end = [&](Time, const SendAttempt& send) {
     ++calls;
--- a/tests/policy/rate_limiter_test.cpp
+++ b/tests/policy/rate_limiter_test.cpp
@@ -25,12 +25,12 @@
   PolicyDriver driver(settings);
   driver.At(1s, {Listed({{.endpoint = 1, .destination = 1}, {.endpoint = 2, .destination = 1}}),
                  Arrive(1)});
-  const EndpointId announced = driver.ActionsOf<SendAttempt>()[0].endpoint;
-  AttemptCompleted end = driver.End(1, Outcome::kRejected, announced);
+  const EndpointId first_endpoint = driver.ActionsOf<SendAttempt>()[0].endpoint;
+  AttemptCompleted end = driver.End(1, Outcome::kRejected, first_endpoint);
   end.retry_after = 1s;
   driver.At(2s, {end});
   ASSERT_EQ(driver.ActionsOf<SendAttempt>().size(), 1u);
-  EXPECT_NE(driver.ActionsOf<SendAttempt>()[0].endpoint, announced);
+  EXPECT_NE(driver.ActionsOf<SendAttempt>()[0].endpoint, first_endpoint);
 }
 
 // The Retry-After may come with any message of a call, not only with the first.
@@ -38,7 +38,7 @@
   Settings settings = TestSettings();
   settings.kinds[0].max_batch = 5;
   PolicyDriver driver(settings);
-  driver.At(1s, {One(), Arrive(1), Arrive(2)});
+  driver.At(1s, {OneEndpoint(), Arrive(1), Arrive(2)});
   driver.At(1800ms);
   ASSERT_EQ(driver.ActionsOf<SendAttempt>().size(), 2u);
   AttemptCompleted second = driver.End(2, Outcome::kRejected);
@@ -50,7 +50,7 @@
 
 TEST(RateLimiter, SendsOneCallAtATimeAfterARejection) {
   PolicyDriver driver;
-  driver.At(1s, {One(), Arrive(1)});
+  driver.At(1s, {OneEndpoint(), Arrive(1)});
   driver.At(2s, {driver.End(1, Outcome::kRejected), Arrive(2), Arrive(3)});
   EXPECT_TRUE(driver.ActionsOf<SendAttempt>().empty());
   driver.At(4s);
@@ -58,9 +58,9 @@
 }
 
 // A refused destination: then ten messages a second are asked for, and all calls are accepted.
-int CallsAfterARefusal(LoadReport report, Time from, Time to) {
+int CallsAfterARejection(LoadReport report, Time from, Time to) {
   PolicyDriver driver;
-  driver.At(1s, {One(), Arrive(1)});
+  driver.At(1s, {OneEndpoint(), Arrive(1)});
   int calls = 0;
   MessageId next = 2;
   const auto end = [&](Time t, const SendAttempt& send) {
@@ -75,17 +75,17 @@
 }
 
 TEST(RateLimiter, RaisesALearnedRateFasterTheLongerNothingIsRejected) {
-  EXPECT_LE(CallsAfterARefusal({}, 1s, 4s), 6);
-  EXPECT_GE(CallsAfterARefusal({}, 18s, 21s), 25);
+  EXPECT_LE(CallsAfterARejection({}, 1s, 4s), 6);
+  EXPECT_GE(CallsAfterARejection({}, 18s, 21s), 25);
 }
 
 TEST(RateLimiter, KeepsALearnedRateWhileLittleAllowanceIsLeft) {
-  EXPECT_LE(CallsAfterARefusal({.allowance_left = 0.1, .limit = 20}, 18s, 21s), 6);
-  EXPECT_GE(CallsAfterARefusal({.allowance_left = 0.9, .limit = 20}, 18s, 21s), 25);
+  EXPECT_LE(CallsAfterARejection({.allowance_left = 0.1, .limit = 20}, 18s, 21s), 6);
+  EXPECT_GE(CallsAfterARejection({.allowance_left = 0.9, .limit = 20}, 18s, 21s), 25);
 }
 
 TEST(RateLimiter, StaysWithinAReportedLimit) {
-  EXPECT_LE(CallsAfterARefusal({.allowance_left = 0.9, .limit = 2}, 18s, 21s), 7);
+  EXPECT_LE(CallsAfterARejection({.allowance_left = 0.9, .limit = 2}, 18s, 21s), 7);
 }
 
 // A call without an answer must not hold up the one call after a rejection.
--- a/tests/policy/restart_test.cpp
+++ b/tests/policy/restart_test.cpp
@@ -31,7 +31,7 @@
   return s;
 }
 
-EndpointList One() {
+EndpointList OneEndpoint() {
   return {
       .version = 1, .form = ListForm::kComplete, .entries = {{.endpoint = 1, .destination = 1}}};
 }
@@ -45,7 +45,7 @@
 }
 
 template <typename T>
-std::vector<T> Of(const std::vector<Action>& actions) {
+std::vector<T> ActionsOf(const std::vector<Action>& actions) {
   std::vector<T> found;
   for (const Action& action : actions) {
     if (const T* t = std::get_if<T>(&action)) found.push_back(*t);
@@ -53,7 +53,7 @@
   return found;
 }
 
-AttemptCompleted Settled(MessageId id, Outcome outcome) {
+AttemptCompleted Completed(MessageId id, Outcome outcome) {
   AttemptCompleted e;
   e.message = id;
   e.endpoint = 1;
@@ -62,90 +62,97 @@
   return e;
 }
 
-TEST(Restored, AMessageIsPastTheGate) {
-  DispatchPolicy choice(KeyedSettings(), 1);
+TEST(Restored, AMessageBypassesTheAdmissionGate) {
+  DispatchPolicy policy(KeyedSettings(), 1);
   std::vector<Event> events;  // no endpoint is known, so 8 of one destination close the gate
   for (MessageId id = 0; id < 20; ++id) events.emplace_back(Restored(id));
-  EXPECT_TRUE(Of<RejectMessage>(choice.Decide(kStart, events)).empty());
+  EXPECT_TRUE(ActionsOf<RejectMessage>(policy.Decide(kStart, events)).empty());
 }
 
 TEST(Restored, AMessageIsSentAgainOnlyWithinTheDedupWindow) {
   for (const Duration ago : {4s, 6s}) {
-    DispatchPolicy choice(KeyedSettings(), 1);
+    DispatchPolicy policy(KeyedSettings(), 1);
     MessageRestored e = Restored(1);
     e.attempts_used = 1;
     e.may_have_run = kStart - ago;
     e.ran_on_endpoint = 1;
-    const auto actions = choice.Decide(kStart, std::vector<Event>{One(), e});
-    const auto sends = Of<SendAttempt>(actions);
+    const auto actions = policy.Decide(kStart, std::vector<Event>{OneEndpoint(), e});
+    const auto sends = ActionsOf<SendAttempt>(actions);
     if (ago < 5s) {
       ASSERT_EQ(sends.size(), 1U);
       EXPECT_EQ(sends[0].start_by, kStart - ago + 5s);
     } else {
       EXPECT_TRUE(sends.empty());
-      EXPECT_EQ(Of<RejectMessage>(actions).size(), 1U);
+      EXPECT_EQ(ActionsOf<RejectMessage>(actions).size(), 1U);
     }
   }
 }
 
-TEST(Restored, WhatMayHaveRunAndMayNotBeRepeatedFailsAtOnce) {
-  DispatchPolicy choice(KeyedSettings(), 1);
+TEST(Restored, ANonIdempotentMessageThatMayHaveRunFailsAtOnce) {
+  DispatchPolicy policy(KeyedSettings(), 1);
   MessageRestored e = Restored(1);
   e.message_class = 1;
   e.may_have_run = kStart - 1s;
-  const auto actions = choice.Decide(kStart, std::vector<Event>{One(), e});
-  EXPECT_EQ(Of<FailMessage>(actions).size(), 1U);
-  EXPECT_TRUE(Of<SendAttempt>(actions).empty());
+  const auto actions = policy.Decide(kStart, std::vector<Event>{OneEndpoint(), e});
+  EXPECT_EQ(ActionsOf<FailMessage>(actions).size(), 1U);
+  EXPECT_TRUE(ActionsOf<SendAttempt>(actions).empty());
 }
 
 TEST(Restored, AttemptsOfEarlierProcessesCount) {
   for (const std::size_t used : {11U, 12U}) {
-    DispatchPolicy choice(KeyedSettings(), 1);
+    DispatchPolicy policy(KeyedSettings(), 1);
     MessageRestored e = Restored(1);
     e.attempts_used = used;
-    auto actions = choice.Decide(kStart, std::vector<Event>{One(), e});
-    EXPECT_EQ(Of<SendAttempt>(actions).size(), used == 11U ? 1U : 0U);
+    auto actions = policy.Decide(kStart, std::vector<Event>{OneEndpoint(), e});
+    EXPECT_EQ(ActionsOf<SendAttempt>(actions).size(), used == 11U ? 1U : 0U);
     if (used == 11U) {
-      const std::vector<Event> failed{Settled(1, Outcome::kConnectFailed)};
-      actions = choice.Decide(kStart + 100ms, failed);
+      const std::vector<Event> failed{Completed(1, Outcome::kConnectFailed)};
+      actions = policy.Decide(kStart + 100ms, failed);
     }
-    EXPECT_EQ(Of<RejectMessage>(actions).size(), 1U) << used;
+    EXPECT_EQ(ActionsOf<RejectMessage>(actions).size(), 1U) << used;
   }
 }
 
-TEST(Restored, AMessageWhoseTimeIsUpEndsInTheSameTurn) {
-  DispatchPolicy choice(KeyedSettings(), 1);
+TEST(Restored, AMessagePastItsDeadlineEndsInTheSameDecision) {
+  DispatchPolicy policy(KeyedSettings(), 1);
   MessageRestored e = Restored(1);
   e.time_left = -3s;
-  const auto actions = choice.Decide(kStart, std::vector<Event>{One(), e});
-  EXPECT_TRUE(Of<SendAttempt>(actions).empty());
-  EXPECT_EQ(Of<RejectMessage>(actions).size(), 1U);
+  const auto actions = policy.Decide(kStart, std::vector<Event>{OneEndpoint(), e});
+  EXPECT_TRUE(ActionsOf<SendAttempt>(actions).empty());
+  EXPECT_EQ(ActionsOf<RejectMessage>(actions).size(), 1U);
 }
 
 TEST(Restored, AnUnknownClassFails) {
-  DispatchPolicy choice(KeyedSettings(), 1);
+  DispatchPolicy policy(KeyedSettings(), 1);
   MessageRestored e = Restored(1);
   e.message_class = 7;
-  EXPECT_EQ(Of<FailMessage>(choice.Decide(kStart, std::vector<Event>{One(), e})).size(), 1U);
+  EXPECT_EQ(
+      ActionsOf<FailMessage>(policy.Decide(kStart, std::vector<Event>{OneEndpoint(), e})).size(),
+      1U);
 }
 
-TEST(Attempts, OneThatWasNotSentIsNotMadeAgainAtOnce) {
-  DispatchPolicy choice(KeyedSettings(), 1);
+TEST(Attempts, AnUnsentAttemptIsNotRetriedAtOnce) {
+  DispatchPolicy policy(KeyedSettings(), 1);
   MessageArrived e{.message = 1, .destination = 1, .time_left = 20s, .key = {}};
-  ASSERT_EQ(Of<SendAttempt>(choice.Decide(kStart, std::vector<Event>{One(), e})).size(), 1U);
-  const std::vector<Event> unsent{Settled(1, Outcome::kNotSent)};
-  EXPECT_TRUE(Of<SendAttempt>(choice.Decide(kStart + 5ms, unsent)).empty());
-  const auto later = choice.Decide(kStart + 200ms, std::vector<Event>{TimerFired{0}});
-  EXPECT_EQ(Of<SendAttempt>(later).size(), 1U);
+  ASSERT_EQ(
+      ActionsOf<SendAttempt>(policy.Decide(kStart, std::vector<Event>{OneEndpoint(), e})).size(),
+      1U);
+  const std::vector<Event> unsent{Completed(1, Outcome::kNotSent)};
+  EXPECT_TRUE(ActionsOf<SendAttempt>(policy.Decide(kStart + 5ms, unsent)).empty());
+  const auto later = policy.Decide(kStart + 200ms, std::vector<Event>{TimerFired{0}});
+  EXPECT_EQ(ActionsOf<SendAttempt>(later).size(), 1U);
 }
 
-TEST(Attempts, AnExhaustedMessageIsGivenUpWhateverWasCountedHere) {
-  DispatchPolicy choice(KeyedSettings(), 1);
+TEST(Attempts, AnExhaustedMessageIsGivenUpRegardlessOfTheLocalCount) {
+  DispatchPolicy policy(KeyedSettings(), 1);
   MessageArrived e{.message = 1, .destination = 1, .time_left = 20s, .key = {}};
-  ASSERT_EQ(Of<SendAttempt>(choice.Decide(kStart, std::vector<Event>{One(), e})).size(), 1U);
-  AttemptCompleted end = Settled(1, Outcome::kNotSent);
+  ASSERT_EQ(
+      ActionsOf<SendAttempt>(policy.Decide(kStart, std::vector<Event>{OneEndpoint(), e})).size(),
+      1U);
+  AttemptCompleted end = Completed(1, Outcome::kNotSent);
   end.exhausted = true;
-  EXPECT_EQ(Of<RejectMessage>(choice.Decide(kStart + 5ms, std::vector<Event>{end})).size(), 1U);
+  EXPECT_EQ(ActionsOf<RejectMessage>(policy.Decide(kStart + 5ms, std::vector<Event>{end})).size(),
+            1U);
 }
 
 }  // namespace
--- a/tests/policy/retry_test.cpp
+++ b/tests/policy/retry_test.cpp
@@ -10,7 +10,7 @@
     Settings settings = TestSettings();
     settings.cancel_allowed = allowed;
     PolicyDriver driver(settings);
-    driver.At(1s, {One(), Arrive(1)});
+    driver.At(1s, {OneEndpoint(), Arrive(1)});
     ASSERT_EQ(driver.ActionsOf<SendAttempt>().size(), 1u);
     EXPECT_EQ(driver.ActionsOf<SendAttempt>()[0].timeout < 20s, !allowed);
     std::size_t cancels = 0;
@@ -25,7 +25,7 @@
 // Loss everywhere: answers at the usual pace after silence. Then a silent unsafe call gives its
 // slot up early when slots are scarce; without other losses it is left alone for longer.
 TEST(RetryScheduler, CancelsLostCallsEarlyWhenSlotsAreScarce) {
-  Time called_off[2];
+  Time time_to_cancel[2];
   for (bool lossy : {false, true}) {
     Settings settings = TestSettings();
     settings.max_concurrent_calls = 2;
@@ -46,14 +46,14 @@
                         Arrive(3, kNotIdempotent, 2)});
     const Time sent = t;
     while (driver.ActionsOf<CancelAttempt>().empty() && t < sent + 19s) driver.At(t += 50ms);
-    called_off[lossy] = t - sent;
+    time_to_cancel[lossy] = t - sent;
   }
-  EXPECT_LT(called_off[true], called_off[false]);
+  EXPECT_LT(time_to_cancel[true], time_to_cancel[false]);
 }
 
 TEST(RetryScheduler, KeepsAnOverdueNonIdempotentCallWhileSlotsAreFree) {
   PolicyDriver driver;
-  driver.At(1s, {One(), Arrive(1, kNotIdempotent)});
+  driver.At(1s, {OneEndpoint(), Arrive(1, kNotIdempotent)});
   for (Time t = 1s; t < 20s; t += 100ms) {
     driver.At(t);
     EXPECT_TRUE(driver.ActionsOf<CancelAttempt>().empty());
@@ -63,7 +63,7 @@
 }
 
 // A timer that fired a little early was taken for one still to come, and messages were lost.
-TEST(RetryScheduler, SetsATimerAgainThatFiredEarly) {
+TEST(RetryScheduler, SetsATimerThatFiredEarlyAgain) {
   PolicyDriver driver;
   driver.At(1s, {Arrive(1)});
   ASSERT_EQ(driver.ActionsOf<SetTimer>().size(), 1u);
--- a/tests/policy/simulator_host_test.cpp
+++ b/tests/policy/simulator_host_test.cpp
@@ -27,7 +27,7 @@
   return {out.str(), status};
 }
 
-TEST(Wire, SettingsAreReadAndUnknownOnesSkipped) {
+TEST(Wire, SettingsAreParsedAndUnknownOnesIgnored) {
   const Settings s = ParseSettings(Line(kStart));
   ASSERT_EQ(s.classes.size(), 2u);
   EXPECT_EQ(s.classes[0].effect, Effect::kIdempotentWithKey);
@@ -52,7 +52,7 @@
   EXPECT_EQ(status, 0);
 }
 
-TEST(Wire, AMessageIsSentAndItsNamesComeBackUnchanged) {
+TEST(Wire, AMessageIsSentAndTheReplyHasItsNamesUnchanged) {
   const std::string input =
       "FRAME\tmoment=1000\n" + std::string(kStart) +
       "\nREGISTER\tpage=0\trows-in=1\n"
@@ -80,7 +80,7 @@
   EXPECT_NE(RunOn(input).first.find("endpoint=first"), std::string::npos);
 }
 
-TEST(Wire, BadInputEndsWithOnePlainLine) {
+TEST(Wire, InvalidInputEndsWithOneErrorLine) {
   const std::string frame = "FRAME\tmoment=1000\n";
   const std::string started = frame + kStart + "\n";
   const std::pair<std::string, std::string> cases[] = {
@@ -96,17 +96,17 @@
       {frame + "REGISTER\tpage=16\trows-in=0\n", "page out of range"},
       {frame + "REGISTER\tpage=1\trows-in=1\nOVER_TO_YOU\n", "line 3: not a ROW"},
       {started, "the input ends inside a batch"}};
-  for (const auto& [input, fault] : cases) {
+  for (const auto& [input, error_text] : cases) {
     std::string errors;
     const auto [out, status] = RunOn(input, &errors);
     EXPECT_NE(status, 0) << input;
-    EXPECT_NE(errors.find(fault), std::string::npos) << errors;
+    EXPECT_NE(errors.find(error_text), std::string::npos) << errors;
     EXPECT_EQ(std::count(errors.begin(), errors.end(), '\n'), 1) << errors;
     EXPECT_EQ(out, "") << "standard output carries the wire alone";
   }
 }
 
-TEST(Wire, ARestartForgetsTheFormerLife) {
+TEST(Wire, ARestartForgetsTheEarlierInstance) {
   const std::string input = "FRAME\tmoment=1000\n" + std::string(kStart) +
                             "\nREQUEST\twho=3\tcall=t/a\tpatience-left=2000000000\tband=1\t"
                             "terminates-at=5\nEXIT\twho=3\n" +
