--- a/tests/consumer/dispatcher.cpp
+++ b/tests/consumer/dispatcher.cpp
@@ -1,4 +1,5 @@
-// A dispatcher's loop in small: one message, one endpoint, which delivers it.
+// Minimal loop of a dispatcher that uses the installed library: one message, and one endpoint that
+// delivers it.
 #include <chrono>
 #include <cstdio>
 #include <variant>
@@ -31,7 +32,7 @@
     events.clear();
     for (const dispatch_policy::Action& action : actions) {
       if (const auto* send = std::get_if<dispatch_policy::SendAttempt>(&action)) {
-        // Here the call goes out; its end is told to a later Decide.
+        // A dispatcher sends the call here, and reports its end in a later call of Decide.
         events.push_back(
             dispatch_policy::AttemptCompleted{.message = send->message,
                                               .endpoint = send->endpoint,
--- a/tests/policy/admission_gate_test.cpp
+++ b/tests/policy/admission_gate_test.cpp
@@ -7,7 +7,8 @@
 namespace dispatch_policy {
 namespace {
 
-// With no endpoint nothing is sent, so R is its least: 8; H is 7.2 and L is 6.24 messages.
+// Nothing is sent without an endpoint, so the discard threshold R has its minimum of 8 messages.
+// The onset threshold H is then 7.2 and the abatement threshold L is 6.24 messages.
 TEST(AdmissionGate, AcceptsEveryMessageBelowOnset) {
   PolicyDriver driver;
   for (MessageId id = 0; id < 8; ++id) {
@@ -22,12 +23,12 @@
     DispatchPolicy policy(TestSettings(), seed);
     std::vector<Event> events;
     for (MessageId id = 0; id < 8; ++id) events.push_back(Arrive(id));
-    events.push_back(Arrive(8));  // at n = 8 = R: discard
+    events.push_back(Arrive(8));  // n = 8 = R: discard mode
     int rejected = 0;
     for (const Action& a : policy.Decide(1s, events))
       rejected += std::holds_alternative<RejectMessage>(a);
     EXPECT_EQ(rejected, 1);
-    events = {MessageCancelled{0}, Arrive(9)};  // n = 7 < H: discard gives way to overload
+    events = {MessageCancelled{0}, Arrive(9)};  // n = 7 < H: discard mode changes to overload mode
     rejected = 0;
     for (const Action& a : policy.Decide(2s, events))
       rejected += std::holds_alternative<RejectMessage>(a);
@@ -42,8 +43,8 @@
   for (MessageId id = 0; id < 9; ++id) events.push_back(Arrive(id));
   driver.At(1s, events);
   driver.At(2s, {Arrive(20)});
-  EXPECT_EQ(driver.ActionsOf<RejectMessage>().size(), 1u) << "n is 8: discard";
-  driver.At(3s, {MessageCancelled{0}, MessageCancelled{1}});  // n = 6 < L: normal
+  EXPECT_EQ(driver.ActionsOf<RejectMessage>().size(), 1u) << "8 unsent messages: discard mode";
+  driver.At(3s, {MessageCancelled{0}, MessageCancelled{1}});  // n = 6 < L: normal mode
   driver.At(3s, {Arrive(21)});
   EXPECT_TRUE(driver.ActionsOf<RejectMessage>().empty());
 }
@@ -54,7 +55,8 @@
   for (MessageId id = 0; id < 9; ++id) events.push_back(Arrive(id));
   driver.At(1s, events);
   ASSERT_EQ(driver.ActionsOf<RejectMessage>().size(), 1u);
-  EXPECT_EQ(driver.ActionsOf<RejectMessage>()[0].retry_after, 1s) << "not yet measured";
+  EXPECT_EQ(driver.ActionsOf<RejectMessage>()[0].retry_after, 1s)
+      << "the time from onset to abatement is not yet known";
   driver.At(4s, {MessageCancelled{0}, MessageCancelled{1}});
   driver.At(4s, {Arrive(10), Arrive(11), Arrive(12)});
   ASSERT_EQ(driver.ActionsOf<RejectMessage>().size(), 1u);
@@ -71,7 +73,6 @@
   EXPECT_EQ(driver.ActionsOf<RejectMessage>()[0].retry_after, 0s);
 }
 
-// The least discard threshold must not exceed what a small capacity leaves.
 TEST(AdmissionGate, AcceptsItsShareOfTheListedRateAfterAStart) {
   Settings settings = TestSettings();
   settings.weights = WeightMeaning::kRate;
@@ -84,10 +85,11 @@
   EXPECT_TRUE(driver.ActionsOf<RejectMessage>().empty());
   events.clear();
   for (MessageId id = 16; id <= 60; ++id) events.emplace_back(Arrive(id, kIdempotent, 2));
-  driver.At(1ms, events);  // it takes two messages a second from us
+  driver.At(1ms, events);  // our share of its rate is two messages per second
   EXPECT_FALSE(driver.ActionsOf<RejectMessage>().empty());
 }
 
+// The minimum discard threshold must not exceed the remaining part of a small max_in_flight.
 TEST(AdmissionGate, DiscardsBeforeASmallCapacityIsUsedUp) {
   const std::map<std::size_t, MessageId> expected_admissions = {
       {8, 6}, {9, 6}, {10, 7}, {11, 8}, {12, 8}};
--- a/tests/policy/caller_contract_test.cpp
+++ b/tests/policy/caller_contract_test.cpp
@@ -40,7 +40,8 @@
   EXPECT_EQ(driver.ActionsOf<SendAttempt>().size(), 1u);
 }
 
-// The share of nobody would be without bound, and a failed endpoint called each turn.
+// With a group size of 0 the share per dispatcher would be infinite, and a failed endpoint would be
+// called in every decision.
 TEST(CallerContract, TreatsAGroupSizeOfZeroAsOne) {
   int calls[2] = {};
   for (std::size_t group : {0, 1}) {
@@ -72,14 +73,14 @@
   for (MessageId id = 1; id <= 20; ++id) events.push_back(Arrive(id, kIdempotent, id));
   driver.At(1s, events);
   ASSERT_EQ(driver.ActionsOf<SendAttempt>().size(), 20u);
-  for (EndpointEntry& e : entries) e.endpoint += 1000;  // all are replaced
+  for (EndpointEntry& e : entries) e.endpoint += 1000;  // every endpoint is replaced
   events = {Listed(entries, 2)};
   for (MessageId id = 1; id <= 20; ++id)
     events.push_back(driver.End(id, Outcome::kConnectFailed, id));
   driver.At(2s, events);
   for (const SendAttempt& send : driver.ActionsOf<SendAttempt>()) EXPECT_GT(send.endpoint, 1000u);
   EXPECT_EQ(driver.ActionsOf<SendAttempt>().size(), 20u)
-      << "other endpoints of the same destinations";
+      << "messages go to other endpoints of the same destinations";
   driver.At(3s, {Listed({}, 3), Arrive(99, kIdempotent, 5)});
   EXPECT_EQ(driver.attempts[99], 0u);
 }
--- a/tests/policy/characterization_test.cpp
+++ b/tests/policy/characterization_test.cpp
@@ -1,13 +1,14 @@
-// Characterization of the policy: generated event streams drive it, and a digest of everything it
-// asks for is compared with the digest that the program at commit 052a23f gave. A refactoring has
-// to reproduce each of them. Texts for people (Log) are left out.
+// Characterization test of the policy. Generated event streams are passed to the policy, and a
+// digest of all its actions is compared with the digest recorded from the program at commit
+// 052a23f. A refactoring must reproduce every digest. Log texts are not part of the digests.
 //
-// The streams come from fixed seeds. They cover every effect of a class, endpoint kinds with and
-// without limits of their own, groups of 1 to 300 forwarders, restarts, endpoint lists, load
-// reports, Retry-After, health checks, and what other forwarders report.
+// The streams are generated from fixed seeds. They cover every effect of a class, endpoint kinds
+// with and without their own limits, groups of 1 to 300 forwarders, restarts, endpoint lists, load
+// reports, Retry-After, health checks, and reports of other forwarders.
 //
-// To record new digests after an intended change of a decision, run the test program with
-// POLICY_DIGESTS_OUT naming the file to be written, and say in the commit why they changed.
+// To record new digests after an intended change of a decision, run the test program with the
+// environment variable POLICY_DIGESTS_OUT set to the output file, and explain in the commit why
+// they changed.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -97,7 +98,7 @@
   return settings;
 }
 
-// One policy and a world that answers it at random.
+// One policy and a simulated environment that answers it at random.
 class Stream {
  public:
   explicit Stream(int number)
@@ -181,7 +182,7 @@
     if (WithProbabilityOneIn(200)) Restart();
   }
 
-  // One id in 16 is of no endpoint.
+  // One id in 16 is that of an unknown endpoint.
   EndpointId RandomEndpoint() {
     return WithProbabilityOneIn(16) ? kEndpointCount + 5 : random_() % kEndpointCount;
   }
@@ -237,7 +238,8 @@
     events_.emplace_back(std::move(list));
   }
 
-  // A new process: it is announced the endpoints and the messages that the earlier one still owed.
+  // Starts a new process: its policy gets the endpoint list and the unfinished messages of the
+  // earlier process.
   void Restart() {
     events_.clear();
     timer_.reset();
@@ -287,7 +289,7 @@
     health_checks_.clear();
   }
 
-  // True if the message is over.
+  // Returns true if the message is finished.
   bool Complete(MessageId id, Message& message, std::size_t number) {
     const Attempt& attempt = message.attempts[number];
     AttemptCompleted event;
@@ -310,7 +312,7 @@
     return finished;
   }
 
-  // Endpoints of a destination fail together for a while, as `health_` draws it.
+  // The endpoints of `failing_destination_` fail together, until another destination is drawn.
   Outcome DrawOutcome(EndpointId endpoint) {
     const bool failing = endpoint % kDestinationCount == failing_destination_;
     if (!failing && !WithProbabilityOneIn(8)) return Outcome::kDelivered;
@@ -378,7 +380,7 @@
   std::mt19937_64 random_;
   Settings settings_;
   std::unique_ptr<DispatchPolicy> policy_;
-  const bool low_traffic_;  // few messages over a long time: each endpoint is called seldom
+  const bool low_traffic_;  // few messages over a long time: endpoints are rarely called
   Time now_ = 1s;
   std::optional<Time> timer_;
   std::vector<Event> events_;
@@ -386,7 +388,7 @@
   std::map<MessageId, Message> messages_;
   MessageId next_message_ = 0;
   std::uint64_t version_ = 0;
-  std::uint64_t failing_destination_ = 5;  // the destination that fails; 5: none
+  std::uint64_t failing_destination_ = 5;  // 5: none
   std::vector<EndpointId> health_checks_;
   Digest digest_;
   std::array<std::uint64_t, std::variant_size_v<Action>> counts_{};
@@ -411,7 +413,7 @@
     for (std::size_t kind = 0; kind < counts.size(); ++kind) counts[kind] += stream.counts()[kind];
   }
   for (std::size_t kind = 0; kind < counts.size(); ++kind) {
-    EXPECT_GE(counts[kind], 100u) << "the streams hardly cause action " << kind;
+    EXPECT_GE(counts[kind], 100u) << "the streams cause too few actions of kind " << kind;
   }
   if (const char* path = std::getenv("POLICY_DIGESTS_OUT")) {
     std::ofstream file(path);
--- a/tests/policy/circuit_breaker_test.cpp
+++ b/tests/policy/circuit_breaker_test.cpp
@@ -9,7 +9,7 @@
 namespace dispatch_policy {
 namespace {
 
-// A connection limit must not lower the rate of calls on the connections that stand.
+// A connection limit must not lower the rate of calls on existing connections.
 TEST(CircuitBreaker, LimitsCallsToTheConnectionsThatTheEndpointAllows) {
   PolicyDriver driver;
   std::vector<Event> events{OneEndpoint()};
@@ -19,11 +19,13 @@
   events = {driver.End(4, Outcome::kConnectionLimitReached)};
   for (MessageId id = 5; id <= 7; ++id) events.emplace_back(Arrive(id));
   driver.At(100ms, events);
-  EXPECT_TRUE(driver.ActionsOf<SendAttempt>().empty()) << "three are out, and no more was let in";
+  EXPECT_TRUE(driver.ActionsOf<SendAttempt>().empty())
+      << "three calls are in flight, and the fourth was not accepted";
   driver.At(200ms, {driver.End(1, Outcome::kDelivered)});
   EXPECT_EQ(driver.ActionsOf<SendAttempt>().size(), 1u);
   driver.At(300ms, {driver.End(2, Outcome::kDelivered), driver.End(3, Outcome::kDelivered)});
-  EXPECT_EQ(driver.ActionsOf<SendAttempt>().size(), 2u) << "at once: neither paced nor sick";
+  EXPECT_EQ(driver.ActionsOf<SendAttempt>().size(), 2u)
+      << "calls are sent at once: no rate limit and no outage";
 }
 
 TEST(CircuitBreaker, IgnoresAResetWhereOtherCallsAreAnswered) {
@@ -31,10 +33,12 @@
   driver.At(1s, {OneEndpoint(), Arrive(1), Arrive(2)});
   driver.At(1100ms, {driver.End(1, Outcome::kDelivered), driver.End(2, Outcome::kReset), Arrive(3),
                      Arrive(4)});
-  EXPECT_EQ(driver.ActionsOf<SendAttempt>().size(), 3u) << "the reset one and both new ones";
+  EXPECT_EQ(driver.ActionsOf<SendAttempt>().size(), 3u)
+      << "the message of the reset call and both new messages";
   driver.At(1200ms,
             {driver.End(3, Outcome::kError), driver.End(4, Outcome::kReset), Arrive(5), Arrive(6)});
-  EXPECT_LE(driver.ActionsOf<SendAttempt>().size(), 1u) << "an error does";
+  EXPECT_LE(driver.ActionsOf<SendAttempt>().size(), 1u)
+      << "an error limits the endpoint to one call";
 }
 
 TEST(CircuitBreaker, PausesAfterAConnectionLimitWithNoCallInFlight) {
@@ -62,11 +66,13 @@
   driver.At(900ms, {OneEndpoint()});
   CallsWhileAllEndWith(driver, Outcome::kConnectFailed, 1s, 15s, next);
   const int first = CallsWhileAllEndWith(driver, Outcome::kDelivered, 15s, 17s, next);
-  // 10 a second are asked for; cold it can do a fifth, and twice that pushes it over.
+  // 10 messages per second are submitted. While cold, the destination has a fifth of its capacity,
+  // and twice that load makes it collapse.
   EXPECT_GE(first, 1);
   EXPECT_LE(first, 8);
   CallsWhileAllEndWith(driver, Outcome::kDelivered, 17s, 30s, next);
-  EXPECT_GE(CallsWhileAllEndWith(driver, Outcome::kDelivered, 30s, 32s, next), 15) << "warm again";
+  EXPECT_GE(CallsWhileAllEndWith(driver, Outcome::kDelivered, 30s, 32s, next), 15)
+      << "full rate after the slow start";
 }
 
 TEST(CircuitBreaker, TreatsALongRetryAfterAsAnOutage) {
@@ -82,8 +88,8 @@
   EXPECT_LE(CallsWhileAllEndWith(driver, Outcome::kDelivered, 18100ms, 20100ms, next), 8);
 }
 
-// Such an answer must not close the breaker during the Retry-After: the full rate would meet a
-// destination that is warming up.
+// A late answer must not close the breaker during the Retry-After: the destination would get the
+// full rate while it is warming up.
 TEST(CircuitBreaker, IgnoresLateAnswersToCallsFromBeforeTheBreakerOpened) {
   PolicyDriver driver;
   MessageId next = 1;
@@ -100,8 +106,9 @@
   EXPECT_LE(CallsWhileAllEndWith(driver, Outcome::kDelivered, 18200ms, 20200ms, next), 8);
 }
 
-// One class fails at one endpoint, all classes there, or all endpoints: each has a result of its
-// own. Returns the calls of the class and of the others at each endpoint in the last half.
+// Submits messages of two classes to two endpoints. `fails` determines whether calls of a class
+// fail at an endpoint. Returns the number of calls of each class to each endpoint in the second
+// half.
 std::map<std::pair<std::size_t, EndpointId>, int> CallsWhen(
     const std::function<bool(std::size_t, EndpointId)>& fails) {
   PolicyDriver driver;
@@ -126,7 +133,8 @@
 
 TEST(CircuitBreaker, MovesOnlyTheClassThatFailsAtAnEndpoint) {
   auto calls = CallsWhen([](std::size_t c, EndpointId e) { return c == kNotIdempotent && e == 1; });
-  EXPECT_LE((calls[{kNotIdempotent, 1}]), 2) << "unsafe messages are not spent on finding out";
+  EXPECT_LE((calls[{kNotIdempotent, 1}]), 2)
+      << "non-idempotent messages are not used to test the endpoint";
   EXPECT_GE((calls[{kNotIdempotent, 2}]), 95);
   EXPECT_GE((calls[{kIdempotent, 1}]), 20) << "the other class stays";
 }
@@ -157,7 +165,8 @@
     std::vector<std::vector<Event>> events(group);
     MessageId next = 1;
     std::size_t after_return = 0;
-    // 10 a second are asked for, unevenly, and warm it can do as much: 8 in a window when cold.
+    // 10 messages per second are submitted, unevenly distributed. The warm destination has just
+    // that capacity; while cold, more than 8 calls in a collapse window make it collapse.
     for (Time t = 1s; t < 45s; t += 20ms) {
       const bool down = t >= 16s && t < 32s;
       if (random() % 5 == 0) {
@@ -175,11 +184,11 @@
       }
     }
     EXPECT_GE(after_return, 1u) << group;
-    EXPECT_LE(after_return, 8u + 4u) << "calls in the fall window of a group of " << group;
+    EXPECT_LE(after_return, 8u + 4u) << "calls in the collapse window of a group of " << group;
   }
 }
 
-// Loss on the way: a third of the calls fail, and the endpoint stays in use.
+// The network loses a third of the calls. The endpoint must stay in use.
 TEST(CircuitBreaker, StaysClosedWhenAThirdOfTheCallsAreLost) {
   PolicyDriver driver;
   driver.At(900ms, {OneEndpoint()});
@@ -193,7 +202,7 @@
   EXPECT_GE(calls, 300);
 }
 
-// A rejection by a destination that is warming up says nothing of its rate limit.
+// A rejection by a destination that is warming up gives no information about its rate limit.
 TEST(CircuitBreaker, KeepsTheLearnedRateOnRejectionsWhileWarmingUp) {
   PolicyDriver driver;
   MessageId next = 1;
@@ -228,7 +237,8 @@
   }
 }
 
-// Where no connection came up a repeat is harmless; where an answer is missing it may have run.
+// After a failed connection attempt a retry is harmless. After a missing answer the message may
+// have run.
 TEST(CircuitBreaker, UsesAMessageWithAKeyAsTrialOnlyAfterAFailedConnection) {
   for (const Outcome outcome : {Outcome::kConnectFailed, Outcome::kReset, Outcome::kTimeout}) {
     Settings settings = TestSettings();
--- a/tests/policy/components_test.cpp
+++ b/tests/policy/components_test.cpp
@@ -1,4 +1,4 @@
-// Components of the policy by themselves, without the rest of a decision.
+// Unit tests of single components of the policy.
 #include <gtest/gtest.h>
 
 #include "policy/admission_gate.hpp"
--- a/tests/policy/condition_transfer_test.cpp
+++ b/tests/policy/condition_transfer_test.cpp
@@ -1,4 +1,4 @@
-// What a process observed of endpoints binds the policy of the next one.
+// The conditions of endpoints that a process observed apply to the policy of the next process.
 #include <gtest/gtest.h>
 
 #include "policy_fixture.hpp"
@@ -6,13 +6,13 @@
 namespace dispatch_policy {
 namespace {
 
-constexpr Time kRestart = 10s;  // of the process
+constexpr Time kRestart = 10s;  // time at which a new process replaces the old one
 
 using CallCompletion = std::function<AttemptCompleted(PolicyDriver&, Time, const SendAttempt&)>;
 
 struct Fault {
   const char* name;
-  CallCompletion end;  // of each call before the change
+  CallCompletion end;  // result of each call before the restart
 };
 
 AttemptCompleted EndAfter(PolicyDriver& driver, const SendAttempt& send, Outcome outcome,
@@ -55,7 +55,7 @@
   return settings;
 }
 
-// A policy that has seen the trouble, with all its calls ended.
+// Runs a policy with the fault until the restart, and ends all its calls.
 void Observe(PolicyDriver& driver, const Fault& fault) {
   MessageId next = 1;
   driver.At(0s, {OneEndpoint()});
@@ -80,7 +80,7 @@
   return events;
 }
 
-// Calls of new messages in the 3 s behind the change, all of which are delivered.
+// Returns the number of calls in the 3 s after the restart. All of them are delivered.
 int CallsAfterTheRestart(PolicyDriver& driver) {
   MessageId next = 1000;
   int calls = 0;
@@ -93,7 +93,8 @@
   return calls;
 }
 
-// Guards against a successor that sends what its predecessor would hold back (report 115bff).
+// Guards against a new process that sends messages that its predecessor would delay (report
+// 115bff).
 TEST(ConditionTransfer, ANewProcessSendsNoMoreThanItsPredecessorWould) {
   for (const Fault& fault : kFaults) {
     for (const bool own_limits : {false, true}) {
@@ -105,13 +106,13 @@
       PolicyDriver successor(SettingsOfCase(own_limits), 2);
       successor.At(kRestart, RestoredConditions(predecessor));
       const int without_restart = CallsAfterTheRestart(uninterrupted);
-      EXPECT_LT(without_restart, 20);  // of 30 messages and those before: the trouble binds
+      EXPECT_LT(without_restart, 20);  // of at least 30 messages: the fault has an effect
       EXPECT_LE(CallsAfterTheRestart(successor), without_restart + 2);
     }
   }
 }
 
-// Guards against a wait that ends early because its endpoint was taken for another one.
+// Guards against a Retry-After that ends early because its endpoint was mistaken for another one.
 TEST(ConditionTransfer, AConditionOfAnUnknownEndpointChangesNothing) {
   PolicyDriver driver;
   driver.At(
@@ -119,7 +120,8 @@
   EXPECT_EQ(driver.ActionsOf<SendAttempt>().size(), 1u);
 }
 
-// Guards against a backlog that is sent at once where nothing is known of its destination.
+// Guards against a backlog that is sent at once although the condition of its destination is
+// unknown.
 TEST(ConditionTransfer, ABacklogForAnUnknownConditionBeginsWithOneTrialAndASlowStart) {
   PolicyDriver driver;
   std::vector<Event> events = {OneEndpoint()};
--- a/tests/policy/endpoint_registry_test.cpp
+++ b/tests/policy/endpoint_registry_test.cpp
@@ -31,7 +31,8 @@
   std::vector<Event> events{Listed({{.endpoint = 1, .destination = 1}}, 4)};
   for (MessageId id = 2; id <= 5; ++id) events.emplace_back(Arrive(id));
   driver.At(63s, events);
-  EXPECT_GE(driver.ActionsOf<SendAttempt>().size(), 4u);  // one at a time had its failure been kept
+  // If the earlier failure had been kept, there would be one call at a time.
+  EXPECT_GE(driver.ActionsOf<SendAttempt>().size(), 4u);
 }
 
 TEST(EndpointRegistry, IgnoresAnOlderList) {
--- a/tests/policy/endpoint_selector_test.cpp
+++ b/tests/policy/endpoint_selector_test.cpp
@@ -7,8 +7,8 @@
 namespace dispatch_policy {
 namespace {
 
-// A call is over with the first of its messages: one that has less time than an answer takes would
-// take all others back with it.
+// A call ends at the earliest deadline of its messages: a message with less time than an answer
+// takes would end the call for all other messages.
 TEST(EndpointSelector, SendsExpiringMessagesInCallsOfTheirOwn) {
   Settings settings = TestSettings();
   settings.kinds[0].max_batch = 5;
@@ -22,12 +22,12 @@
   MessageArrived brief = Arrive(2);
   brief.time_left = 300ms;
   driver.At(3s, {brief, Arrive(3)});
-  driver.At(3100ms);  // the brief one has gathered, the other would join it
+  driver.At(3100ms);  // message 2 has waited long enough, message 3 could share its call
   ASSERT_EQ(driver.ActionsOf<SendAttempt>().size(), 1u);
   EXPECT_EQ(driver.ActionsOf<SendAttempt>()[0].message, 2u);
 }
 
-// Messages wait for others to share their call, but no longer than their own time allows.
+// Messages wait for others to share their call, but no longer than their own deadline allows.
 TEST(EndpointSelector, WaitsForABatchWithinTheTimeThatTheMessageHas) {
   Settings settings = TestSettings();
   settings.kinds[0].max_batch = 5;
@@ -43,7 +43,7 @@
   }
 }
 
-// Two endpoints with limits of their own that differ in the penalty of their zone only.
+// Two endpoints with their own limits differ only in the penalty of their zone.
 TEST(EndpointSelector, PrefersAnEndpointWithoutAZonePenalty) {
   Settings settings = TestSettings();
   settings.kinds[0].per_endpoint_limits = true;
--- a/tests/policy/group_test.cpp
+++ b/tests/policy/group_test.cpp
@@ -1,5 +1,6 @@
-// A hundred instances of the module before one destination, in one process and in virtual time.
-// They share nothing but the destination; what is asserted is the sum over all of them.
+// Simulates a hundred dispatchers, each with its own policy, that send to one destination. The
+// simulation runs in one process and in virtual time. The dispatchers share only the destination;
+// the tests check sums over all dispatchers.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -41,12 +42,12 @@
   return s;
 }
 
-// One destination with one endpoint. Calls above its limit are refused and use the limit up too, as
-// far as a second of it; while it is down no connection comes up.
+// One destination with one endpoint. Calls above its limit are rejected, but also count towards the
+// limit, up to one second of it. While it is down, connection attempts fail.
 struct SimulatedDestination {
-  double limit = 60;  // calls a second
+  double limit = 60;  // calls per second
   bool down = false;
-  double used_calls = 0;  // calls
+  double used_calls = 0;
   Time last{};
 
   Outcome HandleCall(Time now) {
@@ -62,7 +63,7 @@
 struct Counts {
   int arrived = 0, rejected = 0;                 // messages
   int delivered = 0, in_time = 0;                // messages
-  int calls = 0, accepted = 0, above_limit = 0;  // calls, and those above the limit
+  int calls = 0, accepted = 0, above_limit = 0;  // calls
   int health_checks = 0;
 };
 
@@ -78,7 +79,7 @@
     for (std::size_t i = 0; i < group; ++i) Start(i);
   }
 
-  // Begins with nothing learned; what it held before comes back to it.
+  // Starts the dispatcher with a new policy, and restores the messages of its previous run.
   void Start(std::size_t i) {
     const auto messages = std::exchange(dispatchers[i].messages, {});
     dispatchers[i] = Dispatcher{};
@@ -98,13 +99,14 @@
     }
   }
 
-  // Its calls go on, and nobody hears of their ends; its messages are kept for its next start.
+  // Stops the dispatcher. Its calls continue, but their ends are not reported. Its messages are
+  // kept for its next start.
   void Stop(std::size_t i) {
     dispatchers[i].policy.reset();
     std::erase_if(completions, [&](const auto& end) { return end.second.first == i; });
   }
 
-  // Plays so long and returns what happened meanwhile.
+  // Runs the simulation for `time` and returns the counts of that time.
   Counts Advance(Duration time) {
     counts = {};
     for (const Time end = now + time; now < end; now += kStep) {
@@ -120,15 +122,15 @@
   }
 
   SimulatedDestination destination;
-  double rate;                           // messages a second
-  std::optional<double> reported_limit;  // by the reports, where it is not the true one
+  double rate;                           // messages per second
+  std::optional<double> reported_limit;  // limit in load reports, if it differs from the actual one
 
  private:
   struct Dispatcher {
     std::unique_ptr<DispatchPolicy> policy;
     std::vector<Event> inbox;
     Time wake = Time::max();
-    std::map<MessageId, std::pair<Time, std::size_t>> messages;  // arrival, attempts
+    std::map<MessageId, std::pair<Time, std::size_t>> messages;  // arrival time, attempts
   };
 
   void Arrivals() {
@@ -221,7 +223,7 @@
   std::multimap<Time, std::pair<std::size_t, Event>> completions;
 };
 
-// ---- a limit that is lowered (join) ----
+// ---- limits that change ----
 
 TEST(Fleet, AHundredDispatchersAdaptToALoweredLimit) {
   Fleet fleet(100, 20, 150);
@@ -229,12 +231,13 @@
   EXPECT_GT(before.delivered, before.arrived * 3 / 4);
   fleet.destination.limit = 15;
   const Counts lowered = fleet.Advance(9s);
-  // Calls above the limit use it up: without a pace that adds up to the limit nothing gets through.
+  // Calls above the limit use the limit up. Unless the rates of all dispatchers add up to the
+  // limit, hardly any call is accepted.
   EXPECT_GT(lowered.accepted, 15 * 9 / 2);
   EXPECT_LT(lowered.above_limit, 180);
   fleet.destination.limit = 60;
   const Counts after = fleet.Advance(8s);
-  EXPECT_GT(after.delivered, after.arrived) << "the backlog goes once there is room again";
+  EXPECT_GT(after.delivered, after.arrived) << "the backlog is sent when the limit is raised again";
 }
 
 TEST(Fleet, AHundredDispatchersStayBelowALimitThatIsReportedTooHigh) {
@@ -268,10 +271,10 @@
   EXPECT_GT(burst.accepted + after.accepted, 28 * 16 * 8 / 10);
 }
 
-// ---- destinations that are down and come back cold (zone) ----
+// ---- destinations that recover from an outage ----
 
-// What it can do when cold, as a share of a capacity 1.15 times its limit, grows over the cold
-// time.
+// Capacity of a destination at time `back` after an outage. The full capacity is 1.15 times the
+// limit; the share that is available grows from 0.31 to 1 within 9 s.
 double CapacityAt(Duration back) {
   return 60 * 1.15 * (0.31 + 0.69 * std::min(1.0, SecondsOf(back) / 9));
 }
@@ -293,13 +296,13 @@
     arrived += now.arrived;
     health_checks += now.health_checks;
   }
-  EXPECT_GT(delivered, arrived * 4 / 10) << "trials deliver messages";
+  EXPECT_GT(delivered, arrived * 4 / 10) << "trial calls deliver messages";
   EXPECT_LT(health_checks, 20);
   const Counts warm = fleet.Advance(15s);
-  EXPECT_LT(warm.above_limit, 60) << "its limit stands when all take it for warm";
+  EXPECT_LT(warm.above_limit, 60) << "the limit is respected after the slow start";
 }
 
-// ---- most are killed at once and come back with what they owe (herd) ----
+// ---- most dispatchers are stopped at once and restart with their backlog ----
 
 TEST(Fleet, SeventyOfAHundredDispatchersRestartWithTheirBacklogWithinTheLimit) {
   Fleet fleet(100, 1, 40);
--- a/tests/policy/invalid_input_test.cpp
+++ b/tests/policy/invalid_input_test.cpp
@@ -5,7 +5,8 @@
 namespace dispatch_policy {
 namespace {
 
-// One slot, so that what arrives at once stays unsent; the thresholds then follow the listed rate.
+// There is only one slot, so that messages that arrive at once stay unsent. The thresholds then
+// follow the listed rate.
 TEST(InvalidInput, IgnoresAListedRateOutOfRange) {
   Settings settings = TestSettings();
   settings.max_concurrent_calls = 1;
@@ -18,7 +19,7 @@
   driver.At(1s, arrivals);
   EXPECT_EQ(driver.ActionsOf<SendAttempt>().size(), 1u);
   EXPECT_FALSE(driver.ActionsOf<RejectMessage>().empty())
-      << "the gate let all in at a rate nobody meant";
+      << "the gate accepted all messages at the invalid rate";
 }
 
 TEST(InvalidInput, GivesMessagesUpAtOnceOnARetryAfterPastTheirDeadlines) {
@@ -29,7 +30,8 @@
   full.retry_after = 3600s;
   driver.At(100ms, {full, Arrive(2)});
   EXPECT_TRUE(Logged(driver, "past every deadline"));
-  EXPECT_EQ(driver.ActionsOf<RejectMessage>().size(), 2u) << "held for a wait that outlasts them";
+  EXPECT_EQ(driver.ActionsOf<RejectMessage>().size(), 2u)
+      << "messages were kept for a Retry-After past their deadlines";
   EXPECT_TRUE(driver.ActionsOf<SendAttempt>().empty());
 }
 
--- a/tests/policy/invariants_test.cpp
+++ b/tests/policy/invariants_test.cpp
@@ -1,5 +1,5 @@
-// Random legal events, with the rules checked as invariants. There is no model of a server: what
-// becomes of an attempt is drawn at random.
+// Sends random valid events to the policy and checks its rules as invariants. There is no model of
+// a server: the outcome of each attempt is random.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -101,7 +101,8 @@
       calls_of_decision_.clear();
       if (testing::Test::HasFailure()) return;
     }
-    for (const auto& [id, m] : messages_) EXPECT_TRUE(m.finished) << "lost " << id;
+    for (const auto& [id, m] : messages_)
+      EXPECT_TRUE(m.finished) << "no final answer for message " << id;
   }
 
   int sends() const { return sends_; }
@@ -135,7 +136,7 @@
       }
     }
     if (random_() % 50 == 0)
-      failure_mode_ = static_cast<int>(random_() % 7);  // a trouble comes or goes
+      failure_mode_ = static_cast<int>(random_() % 7);  // failures begin or end
   }
 
   void SendList(ListForm form) {
@@ -204,13 +205,13 @@
     const EndpointEntry& e = entries_.at(a.endpoint);
     EXPECT_FALSE(m.finished) << "sent after its final answer";
     EXPECT_EQ(e.destination, m.arrived.destination);
-    EXPECT_EQ(e.state, EndpointState::kListed) << "drain";
-    EXPECT_LE(RetryAfterEnd(a.endpoint), now_) << "wait";
+    EXPECT_EQ(e.state, EndpointState::kListed) << "sent to an endpoint that is draining or removed";
+    EXPECT_LE(RetryAfterEnd(a.endpoint), now_) << "sent during a Retry-After";
     EXPECT_GT(a.timeout, 0ms);
     EXPECT_LT(m.sent.size(), settings_.max_attempts);
     for (const SentAttempt& s : m.sent) EXPECT_FALSE(s.in_flight) << "two attempts at once";
     if (m.may_have_run) {
-      EXPECT_NE(c.effect, Effect::kNotIdempotent) << "effect twice";
+      EXPECT_NE(c.effect, Effect::kNotIdempotent) << "the message may take effect twice";
       if (c.effect == Effect::kIdempotentWithKey) {
         EXPECT_LT(now_ - *m.may_have_run, c.dedup_window);
         if (c.dedup_scope == DedupScope::kZone) {
@@ -221,12 +222,12 @@
     if (c.ordered && !m.arrived.key.empty()) {
       for (MessageId id : queues_[m.arrived.key]) {
         if (id == a.message) break;
-        EXPECT_TRUE(messages_[id].finished) << "order";
+        EXPECT_TRUE(messages_[id].finished) << "sent before an earlier message of its key";
         for (const SentAttempt& s : messages_[id].sent)
-          EXPECT_FALSE(s.in_flight) << "order, attempt out";
+          EXPECT_FALSE(s.in_flight) << "an earlier attempt of the key is in flight";
       }
       if (m.sent.empty()) {
-        EXPECT_LE(cooldowns_[m.arrived.key], now_) << "rest";
+        EXPECT_LE(cooldowns_[m.arrived.key], now_) << "sent during the cooldown of its key";
       }
     }
     SentAttempt s;
@@ -267,8 +268,8 @@
 
   void RecordFinalAnswer(MessageId id) {
     ASSERT_TRUE(messages_.count(id));
-    EXPECT_FALSE(messages_[id].finished) << "a second answer";
-    EXPECT_LE(now_, messages_[id].deadline) << "too late";
+    EXPECT_FALSE(messages_[id].finished) << "a second final answer";
+    EXPECT_LE(now_, messages_[id].deadline) << "final answer after the deadline";
     messages_[id].finished = true;
   }
 
@@ -282,7 +283,7 @@
     const bool harmless =
         c.effect == Effect::kIdempotent ||
         (c.effect == Effect::kIdempotentWithKey && c.dedup_scope == DedupScope::kDestination);
-    EXPECT_TRUE(!may_have_run || harmless) << "refused though it may have run";
+    EXPECT_TRUE(!may_have_run || harmless) << "rejected although it may have run";
     EXPECT_LE(a.retry_after, settings_.clients_honor_retry_after ? settings_.max_retry_after : 0ms);
   }
   void Check(const FailMessage& a) { RecordFinalAnswer(a.message); }
@@ -296,7 +297,7 @@
   void Check(const StartHealthCheck& a) {
     EXPECT_TRUE(settings_.health_checks_allowed);
     EXPECT_EQ(entries_.at(a.endpoint).state, EndpointState::kListed);
-    EXPECT_LE(RetryAfterEnd(a.endpoint), now_) << "wait";
+    EXPECT_LE(RetryAfterEnd(a.endpoint), now_) << "health check during a Retry-After";
     EXPECT_FALSE(health_checks_.count(a.endpoint));
     health_checks_[a.endpoint] = now_ + 50ms;
   }
@@ -335,7 +336,7 @@
     simulation.Run();
     sends += simulation.sends();
   }
-  EXPECT_GT(sends, 3000) << "the worlds must exercise the module";
+  EXPECT_GT(sends, 3000) << "the simulations must exercise the policy";
 }
 
 }  // namespace
--- a/tests/policy/message_ledger_test.cpp
+++ b/tests/policy/message_ledger_test.cpp
@@ -8,7 +8,7 @@
 TEST(MessageLedger, AnswersEveryMessageOnceBeforeItsDeadline) {
   PolicyDriver driver;
   driver.At(1s, {Arrive(1, kNotIdempotent)});
-  EXPECT_TRUE(driver.ActionsOf<RejectMessage>().empty()) << "held: an endpoint may still be listed";
+  EXPECT_TRUE(driver.ActionsOf<RejectMessage>().empty()) << "kept: an endpoint may still be listed";
   driver.At(21s);
   EXPECT_EQ(driver.ActionsOf<RejectMessage>().size(), 1u);
   driver.At(22s, {OneEndpoint()});
@@ -28,7 +28,7 @@
     PolicyDriver driver;
     driver.At(1s, {OneEndpoint(), Arrive(1, kNotIdempotent)});
     driver.At(2s, {driver.End(1, o)});
-    EXPECT_EQ(driver.ActionsOf<FailMessage>().size(), 1u) << "at once";
+    EXPECT_EQ(driver.ActionsOf<FailMessage>().size(), 1u) << "not failed at once";
     EXPECT_TRUE(driver.ActionsOf<RejectMessage>().empty());
     driver.At(4s);
     EXPECT_EQ(driver.attempts[1], 1u);
@@ -44,7 +44,7 @@
   driver.At(7100ms, {driver.End(1, Outcome::kError)});
   EXPECT_EQ(driver.attempts[1], 2u);
   EXPECT_EQ(driver.ActionsOf<RejectMessage>().size() + driver.ActionsOf<FailMessage>().size(), 1u)
-      << "given up at once";
+      << "not given up at once";
 }
 
 TEST(MessageLedger, RetriesInTheSameZoneWhereDeduplicationIsPerZone) {
@@ -57,7 +57,8 @@
   driver.At(3s);
   EXPECT_EQ(driver.attempts[1], 1u);
   driver.At(8s);
-  EXPECT_EQ(driver.ActionsOf<FailMessage>().size(), 1u) << "may not be refused either";
+  EXPECT_EQ(driver.ActionsOf<FailMessage>().size(), 1u)
+      << "must not be rejected, because submitting it again is not safe";
 }
 
 TEST(MessageLedger, SendsAnOrderedKeyOneByOneAndWaitsAfterAnUnknownOutcome) {
@@ -66,9 +67,9 @@
   EXPECT_EQ(driver.attempts[1], 1u);
   EXPECT_EQ(driver.attempts[2], 0u);
   AttemptCompleted end = driver.End(1, Outcome::kTimeout);
-  end.finished = true;  // answered otherwise; the attempt may still run
+  end.finished = true;  // the client was answered; the attempt may still be running
   driver.At(2s, {end});
-  EXPECT_EQ(driver.attempts[2], 0u) << "the key rests";
+  EXPECT_EQ(driver.attempts[2], 0u) << "the ordering key is in cooldown";
   driver.At(2050ms);
   EXPECT_EQ(driver.attempts[2], 0u);
   driver.At(2100ms);
@@ -80,7 +81,7 @@
   driver.At(1s, {OneEndpoint(), Arrive(1, kOrdered, 1, "k"), Arrive(2, kOrdered, 1, "k")});
   driver.At(2s, {MessageCancelled{1}});
   driver.At(3s);
-  EXPECT_EQ(driver.attempts[2], 0u) << "the cancelled attempt is still out";
+  EXPECT_EQ(driver.attempts[2], 0u) << "the cancelled attempt is still in flight";
   driver.At(4s, {driver.End(1, Outcome::kCancelled)});
   driver.At(4200ms);
   EXPECT_EQ(driver.attempts[2], 1u);
--- a/tests/policy/peer_reports_test.cpp
+++ b/tests/policy/peer_reports_test.cpp
@@ -5,7 +5,7 @@
 namespace dispatch_policy {
 namespace {
 
-// Calls to endpoint 1 from `from` to `to`, a message each tenth of a second, all delivered.
+// Returns the number of calls from `from` to `to`, with a message every 100 ms and all delivered.
 int CallsWhileAllAreDelivered(PolicyDriver& driver, Time from, Time to, MessageId& next) {
   return CallsWhileAllEndWith(driver, Outcome::kDelivered, from, to, next);
 }
@@ -27,10 +27,10 @@
   PolicyDriver driver;
   driver.At(1s, {OneEndpoint(), PeerHealthReport{.endpoint = 1, .health = PeerHealth::kFailing},
                  Arrive(1), Arrive(2)});
-  ASSERT_EQ(driver.ActionsOf<SendAttempt>().size(), 1u);  // the cheap check
+  ASSERT_EQ(driver.ActionsOf<SendAttempt>().size(), 1u);  // verifies the report with a single call
   driver.At(1100ms, {driver.End(driver.ActionsOf<SendAttempt>()[0].message, Outcome::kDelivered),
                      Arrive(3), Arrive(4)});
-  EXPECT_EQ(driver.ActionsOf<SendAttempt>().size(), 3u);  // it was wrong
+  EXPECT_EQ(driver.ActionsOf<SendAttempt>().size(), 3u);  // the report was wrong
 
   PolicyDriver confirmed;
   MessageId next = 1;
@@ -90,10 +90,12 @@
   waits.At(5s,
            {PeerHealthReport{.endpoint = 1, .health = PeerHealth::kBeingTested, .duration = 1h}});
   EXPECT_EQ(CallsWhileAllEndWith(waits, Outcome::kConnectFailed, 5s, 6900ms, next), 0);
-  EXPECT_GT(CallsWhileAllEndWith(waits, Outcome::kConnectFailed, 7s, 12s, next), 0);  // a bound
+  // The reported trial call delays this dispatcher's trial calls only for a limited time.
+  EXPECT_GT(CallsWhileAllEndWith(waits, Outcome::kConnectFailed, 7s, 12s, next), 0);
 }
 
-// Less careful: a word that it serves brings a trial forward, and two of them the slow start.
+// Reports can also make the policy less cautious: a report of one witness that the endpoint is
+// serving makes the next trial call earlier; a report of two starts the recovery.
 TEST(PeerReports, StartsRecoveryWhenTwoWitnessesReportAnswers) {
   const auto calls = [](std::size_t witnesses) {
     PolicyDriver driver;
--- a/tests/policy/policy_fixture.hpp
+++ b/tests/policy/policy_fixture.hpp
@@ -1,4 +1,5 @@
-// What the tests of the policy share: settings, a driver, and makers of common events.
+// Shared helpers of the policy's tests: settings, a driver, and functions that create common
+// events.
 #ifndef BRASSFRONT_TESTS_POLICY_POLICY_FIXTURE_HPP_
 #define BRASSFRONT_TESTS_POLICY_POLICY_FIXTURE_HPP_
 
@@ -42,13 +43,13 @@
   return settings;
 }
 
-// The classes of TestSettings, by their index.
+// Indices of the classes of TestSettings.
 inline constexpr std::size_t kIdempotent = 0;
 inline constexpr std::size_t kOrdered = 1;  // with an idempotency key
 inline constexpr std::size_t kNotIdempotent = 2;
 
-// Drives one policy by hand and keeps the actions of its last decision. Messages and endpoints are
-// numbered by the test.
+// Passes events to one policy and keeps the actions of its last decision. Tests choose the ids of
+// messages and endpoints.
 class PolicyDriver {
  public:
   explicit PolicyDriver(Settings settings = TestSettings(), std::uint64_t seed = 1)
@@ -96,8 +97,8 @@
 
 inline EndpointList OneEndpoint() { return Listed({{.endpoint = 1, .destination = 1}}); }
 
-// Submits a message each tenth of a second; each call has ended by the next one as `end` says.
-// Returns the outcomes that the policy was not given yet.
+// Submits a message every 100 ms. Each call ends before the next step, with the result that `end`
+// returns. Returns the results that were not yet passed to the policy.
 inline std::vector<Event> Drive(
     PolicyDriver& driver, Time from, Time to, const std::function<MessageArrived()>& next,
     const std::function<AttemptCompleted(Time, const SendAttempt&)>& end,
@@ -111,8 +112,8 @@
   return events;
 }
 
-// Submits an idempotent message each tenth of a second and ends every call alike; returns how many
-// calls there were.
+// Submits an idempotent message every 100 ms and ends every call with the same outcome. Returns the
+// number of calls.
 inline int CallsWhileAllEndWith(PolicyDriver& driver, Outcome outcome, Time from, Time to,
                                 MessageId& next) {
   int calls = 0;
@@ -122,7 +123,7 @@
   };
   std::vector<Event> events = Drive(
       driver, from, to, [&] { return Arrive(next++); }, end);
-  while (!events.empty()) {  // nothing is left without an outcome
+  while (!events.empty()) {  // until every attempt has an outcome
     driver.At(to, events);
     events.clear();
     for (const SendAttempt& send : driver.ActionsOf<SendAttempt>())
--- a/tests/policy/rate_limiter_test.cpp
+++ b/tests/policy/rate_limiter_test.cpp
@@ -33,7 +33,7 @@
   EXPECT_NE(driver.ActionsOf<SendAttempt>()[0].endpoint, first_endpoint);
 }
 
-// The Retry-After may come with any message of a call, not only with the first.
+// Any message of a call may have the Retry-After, not only the first one.
 TEST(RateLimiter, AppliesRetryAfterOfAnyMessageInABatch) {
   Settings settings = TestSettings();
   settings.kinds[0].max_batch = 5;
@@ -57,7 +57,8 @@
   EXPECT_EQ(driver.ActionsOf<SendAttempt>().size(), 1u);
 }
 
-// A refused destination: then ten messages a second are asked for, and all calls are accepted.
+// Rejects the first call to a destination, then submits ten messages per second and accepts all
+// calls. Returns the number of calls from `from` to `to`.
 int CallsAfterARejection(LoadReport report, Time from, Time to) {
   PolicyDriver driver;
   driver.At(1s, {OneEndpoint(), Arrive(1)});
@@ -88,7 +89,7 @@
   EXPECT_LE(CallsAfterARejection({.allowance_left = 0.9, .limit = 2}, 18s, 21s), 7);
 }
 
-// A call without an answer must not hold up the one call after a rejection.
+// A call without an answer must not delay the single call after a rejection.
 TEST(RateLimiter, SendsTheNextCallAfterARejectionDespiteAHungOne) {
   PolicyDriver driver;
   driver.At(1s, {Listed({{.endpoint = 1, .destination = 1}, {.endpoint = 2, .destination = 1}}),
--- a/tests/policy/restart_test.cpp
+++ b/tests/policy/restart_test.cpp
@@ -1,5 +1,4 @@
-// What the module learned for a dispatcher whose messages outlast it, and of attempts that were
-// never made.
+// Tests of messages that are restored after a restart, and of attempts that were not sent.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -64,7 +63,7 @@
 
 TEST(Restored, AMessageBypassesTheAdmissionGate) {
   DispatchPolicy policy(KeyedSettings(), 1);
-  std::vector<Event> events;  // no endpoint is known, so 8 of one destination close the gate
+  std::vector<Event> events;  // without an endpoint, 8 messages close the gate
   for (MessageId id = 0; id < 20; ++id) events.emplace_back(Restored(id));
   EXPECT_TRUE(ActionsOf<RejectMessage>(policy.Decide(kStart, events)).empty());
 }
--- a/tests/policy/retry_test.cpp
+++ b/tests/policy/retry_test.cpp
@@ -22,8 +22,9 @@
   }
 }
 
-// Loss everywhere: answers at the usual pace after silence. Then a silent unsafe call gives its
-// slot up early when slots are scarce; without other losses it is left alone for longer.
+// Answers at the usual latency after unanswered calls show that the network loses calls. A
+// non-idempotent call without an answer is then cancelled early if slots are scarce; without other
+// losses it is cancelled later.
 TEST(RetryScheduler, CancelsLostCallsEarlyWhenSlotsAreScarce) {
   Time time_to_cancel[2];
   for (bool lossy : {false, true}) {
@@ -62,7 +63,8 @@
   EXPECT_EQ(driver.ActionsOf<FailMessage>().size(), 1u);
 }
 
-// A timer that fired a little early was taken for one still to come, and messages were lost.
+// Guards against a fault in which a timer that fired a little early was considered still pending,
+// and messages were lost.
 TEST(RetryScheduler, SetsATimerThatFiredEarlyAgain) {
   PolicyDriver driver;
   driver.At(1s, {Arrive(1)});
--- a/tests/policy/simulator_host_test.cpp
+++ b/tests/policy/simulator_host_test.cpp
@@ -102,7 +102,7 @@
     EXPECT_NE(status, 0) << input;
     EXPECT_NE(errors.find(error_text), std::string::npos) << errors;
     EXPECT_EQ(std::count(errors.begin(), errors.end(), '\n'), 1) << errors;
-    EXPECT_EQ(out, "") << "standard output carries the wire alone";
+    EXPECT_EQ(out, "") << "standard output must contain only replies";
   }
 }
 
