--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -42,8 +42,8 @@
 dispatch_policy::ClassSettings ReadClass(const Value& message_class,
                                          std::vector<std::string>& warnings) {
   dispatch_policy::ClassSettings settings;
-  settings.latency_objective = nanoseconds(message_class.At("goal-time").Whole());
-  settings.deadline = nanoseconds(message_class.At("hard-limit").Whole());
+  settings.latency_objective = nanoseconds(message_class.At("goal-time").UnsignedInteger());
+  settings.deadline = nanoseconds(message_class.At("hard-limit").UnsignedInteger());
   settings.effect = ReadEffect(message_class, warnings);
   if (TextOr(message_class, "key-scope", "all") == "zone") {
     settings.dedup_scope = dispatch_policy::DedupScope::kZone;
@@ -82,9 +82,10 @@
   const Value::Array& own_limits = ItemsOrNone(family, "own-limits");
   const std::size_t count = std::max({named_kinds, max_batches.size(), own_limits.size()});
   std::vector<dispatch_policy::KindSettings> kinds(count);
-  for (std::size_t i = 0; i < max_batches.size(); ++i) kinds[i].max_batch = max_batches[i].Whole();
+  for (std::size_t i = 0; i < max_batches.size(); ++i)
+    kinds[i].max_batch = max_batches[i].UnsignedInteger();
   for (std::size_t i = 0; i < own_limits.size(); ++i) {
-    kinds[i].per_endpoint_limits = own_limits[i].Flag();
+    kinds[i].per_endpoint_limits = own_limits[i].Boolean();
   }
   return kinds;
 }
@@ -203,9 +204,9 @@
 }
 
 Limits ReadLimits(const Value& limits) {
-  return {.memory_bytes = limits.At("memory_mb").Whole() * kMegabyte,
-          .sockets = limits.At("sockets").Whole(),
-          .disk_bytes = limits.At("disk_mb").Whole() * kMegabyte};
+  return {.memory_bytes = limits.At("memory_mb").UnsignedInteger() * kMegabyte,
+          .sockets = limits.At("sockets").UnsignedInteger(),
+          .disk_bytes = limits.At("disk_mb").UnsignedInteger() * kMegabyte};
 }
 
 }  // namespace
--- a/src/config/json_fields.cpp
+++ b/src/config/json_fields.cpp
@@ -13,18 +13,18 @@
 
 std::size_t WholeOr(const Value& object, std::string_view name, std::size_t absent) {
   const Value* field = object.Find(name);
-  return field == nullptr ? absent : field->Whole();
+  return field == nullptr ? absent : field->UnsignedInteger();
 }
 
 std::chrono::nanoseconds TimeOr(const Value& object, std::string_view name,
                                 std::chrono::nanoseconds absent) {
   const Value* field = object.Find(name);
-  return field == nullptr ? absent : std::chrono::nanoseconds(field->Whole());
+  return field == nullptr ? absent : std::chrono::nanoseconds(field->UnsignedInteger());
 }
 
 bool FlagOr(const Value& object, std::string_view name, bool absent) {
   const Value* field = object.Find(name);
-  return field == nullptr ? absent : field->Flag();
+  return field == nullptr ? absent : field->Boolean();
 }
 
 std::string TextOr(const Value& object, std::string_view name, std::string_view absent) {
--- a/src/protocol/discovery.cpp
+++ b/src/protocol/discovery.cpp
@@ -30,15 +30,15 @@
 
 MemberList ReadMemberList(const json::Value& value) {
   MemberList list;
-  list.revision = value.At("revision").Whole();
-  list.complete = value.At("complete").Flag();
+  list.revision = value.At("revision").UnsignedInteger();
+  list.complete = value.At("complete").Boolean();
   for (const json::Value& item : value.At("members").Items()) {
     Member& member = list.members.emplace_back();
     member.id = item.At("id").Text();
     member.address = item.At("host_port").Text();
     member.zone = item.At("locality").Text();
     member.kind = item.At("flavor").Text();
-    member.destination = item.At("cell").Whole();
+    member.destination = item.At("cell").UnsignedInteger();
     member.phase = ReadPhase(item.At("phase").Text());
     if (const json::Value* weight = item.Find("size")) member.weight = weight->Number();
   }
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -220,10 +220,10 @@
 
 const std::string& Value::Text() const { return Get<std::string>(data_, "a string"); }
 double Value::Number() const { return Get<double>(data_, "a number"); }
-bool Value::Flag() const { return Get<bool>(data_, "true or false"); }
+bool Value::Boolean() const { return Get<bool>(data_, "true or false"); }
 const Value::Array& Value::Items() const { return Get<Array>(data_, "a list"); }
 
-std::uint64_t Value::Whole() const {
+std::uint64_t Value::UnsignedInteger() const {
   const double number = Number();
   if (number < 0 || number > 9007199254740992.0 || number != std::floor(number)) {
     throw Error("expected a whole number");
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -34,8 +34,8 @@
   [[nodiscard]] const Value& At(std::string_view name) const;
   [[nodiscard]] const std::string& Text() const;
   [[nodiscard]] double Number() const;
-  [[nodiscard]] std::uint64_t Whole() const;
-  [[nodiscard]] bool Flag() const;
+  [[nodiscard]] std::uint64_t UnsignedInteger() const;
+  [[nodiscard]] bool Boolean() const;
   [[nodiscard]] const Array& Items() const;
 
  private:
--- a/tests/network/json_test.cpp
+++ b/tests/network/json_test.cpp
@@ -16,14 +16,14 @@
   const json::Value v =
       json::Parse(R"( {"a":[1,-2.5e1,true,null,"x\n\u00e9\ud83d\ude00"],"b":{}} )");
   const auto& items = v.At("a").Items();
-  CHECK(items[0].Whole() == 1);
+  CHECK(items[0].UnsignedInteger() == 1);
   CHECK(items[1].Number() == -25);
-  CHECK(items[2].Flag());
+  CHECK(items[2].Boolean());
   CHECK(items[3].IsNull());
   CHECK(items[4].Text() == "x\n\xc3\xa9\xf0\x9f\x98\x80");
   CHECK(v.Find("c") == nullptr);
   CHECK_THROWS_AS(static_cast<void>(v.At("c")), json::Error);
-  CHECK_THROWS_AS(static_cast<void>(items[1].Whole()), json::Error);
+  CHECK_THROWS_AS(static_cast<void>(items[1].UnsignedInteger()), json::Error);
   CHECK_THROWS_AS(static_cast<void>(items[0].Text()), json::Error);
 }
 
