--- a/tests/policy/peer_reports_test.cpp
+++ b/tests/policy/peer_reports_test.cpp
@@ -5,8 +5,8 @@
 namespace dispatch_policy {
 namespace {
 
-// Returns the number of calls to endpoint 1 from `from` to `to`. A message is submitted every 100 ms,
-// and all calls are delivered.
+// Returns the number of calls to endpoint 1 from `from` to `to`. A message is submitted every 100
+// ms, and all calls are delivered.
 int CallsWhileAllAreDelivered(PolicyDriver& driver, Time from, Time to, MessageId& next) {
   return CallsWhileAllEndWith(driver, Outcome::kDelivered, from, to, next);
 }
