--- a/src/forwarder/call_answer.cpp
+++ b/src/forwarder/call_answer.cpp
@@ -31,7 +31,7 @@
 
 MessageEnd ToMessageEnd(const AttemptResult& result) {
   if (result.outcome != dispatch_policy::Outcome::kDelivered) {
-    return MessageEnd::kOverForTheEndpoint;
+    return MessageEnd::kGone;
   }
   if (result.in_doubt) return MessageEnd::kDeliveredInDoubt;
   return result.certainty ? MessageEnd::kDeliveredUnsettled : MessageEnd::kDelivered;
--- a/src/forwarder/condition_recorder.cpp
+++ b/src/forwarder/condition_recorder.cpp
@@ -33,18 +33,18 @@
 
 }  // namespace
 
-std::vector<ConditionRecorder::Event> ConditionRecorder::EventsBehind(
+std::vector<ConditionRecorder::Event> ConditionRecorder::RestoredConditionEvents(
     const dispatch_policy::EndpointList& list) {
   std::vector<Event> events;
   if (store_ == nullptr) return events;
   if (!std::exchange(destinations_restored_, true)) AddDestinations(events);
   for (const dispatch_policy::EndpointEntry& entry : list.entries) {
-    if (!restored_.insert(entry.endpoint).second) continue;
+    if (!restored_endpoints_.insert(entry.endpoint).second) continue;
     const std::string& name = endpoints_.At(entry.endpoint).name;
     const auto record = store_->Find(EndpointKey(name));
     if (!record) continue;
     LogRestored(*record, "endpoint", name);
-    troubled_[entry.destination].insert(entry.endpoint);
+    endpoints_with_conditions_[entry.destination].insert(entry.endpoint);
     events.emplace_back(EndpointConditionRestored{entry.endpoint, record->endpoint, record->limit});
   }
   return events;
@@ -69,28 +69,29 @@
 void ConditionRecorder::Record(const EndpointConditionChange& change, Time now) {
   const Endpoint* endpoint = endpoints_.Find(change.endpoint);
   if (endpoint == nullptr) return;  // the policy remembers removed endpoints for longer
-  std::set<dispatch_policy::EndpointId>& troubled = troubled_[endpoint->entry.destination];
+  std::set<dispatch_policy::EndpointId>& with_conditions =
+      endpoints_with_conditions_[endpoint->entry.destination];
   const bool is_ordinary = IsOrdinary(change.condition, now) && IsOrdinary(change.own_limit, now);
-  if (is_ordinary && troubled.erase(change.endpoint) == 0) return;  // nothing is kept
-  if (!is_ordinary) troubled.insert(change.endpoint);
-  Keep({.key = EndpointKey(endpoint->name),
-        .recorded_at = now,
-        .endpoint = change.condition,
-        .limit = change.own_limit},
-       is_ordinary);
+  if (is_ordinary && with_conditions.erase(change.endpoint) == 0) return;  // nothing is kept
+  if (!is_ordinary) with_conditions.insert(change.endpoint);
+  UpdateStore({.key = EndpointKey(endpoint->name),
+               .recorded_at = now,
+               .endpoint = change.condition,
+               .limit = change.own_limit},
+              is_ordinary);
 }
 
 void ConditionRecorder::Record(const DestinationConditionChange& change, Time now) {
-  const bool is_ordinary =
-      IsOrdinary(change.shared_limit, now) && troubled_[change.destination].empty();
-  Keep({.key = DestinationKey(change.destination),
-        .recorded_at = now,
-        .destination = change.condition,
-        .limit = change.shared_limit},
-       is_ordinary);
+  const bool is_ordinary = IsOrdinary(change.shared_limit, now) &&
+                           endpoints_with_conditions_[change.destination].empty();
+  UpdateStore({.key = DestinationKey(change.destination),
+               .recorded_at = now,
+               .destination = change.condition,
+               .limit = change.shared_limit},
+              is_ordinary);
 }
 
-void ConditionRecorder::Keep(const ConditionRecord& record, bool is_ordinary) {
+void ConditionRecorder::UpdateStore(const ConditionRecord& record, bool is_ordinary) {
   if (is_ordinary) {
     store_->Erase(record.key);
   } else {
@@ -99,12 +100,12 @@
 }
 
 void ConditionRecorder::OnMessageRestored(dispatch_policy::DestinationId destination) {
-  if (store_ != nullptr && !store_->is_complete()) with_restored_messages_.insert(destination);
+  if (store_ != nullptr && !store_->is_complete()) restored_destinations_.insert(destination);
 }
 
-std::vector<ConditionRecorder::Event> ConditionRecorder::TakeLost() {
+std::vector<ConditionRecorder::Event> ConditionRecorder::TakeLostConditions() {
   std::vector<Event> events;
-  for (const auto destination : std::exchange(with_restored_messages_, {})) {
+  for (const auto destination : std::exchange(restored_destinations_, {})) {
     events.emplace_back(DestinationConditionLost{destination});
   }
   return events;
@@ -112,7 +113,7 @@
 
 bool ConditionRecorder::Retry(Time now) {
   if (store_ == nullptr || !store_->Retry(now)) return false;
-  restored_.clear();
+  restored_endpoints_.clear();
   destinations_restored_ = false;
   return true;
 }
--- a/src/forwarder/condition_recorder.hpp
+++ b/src/forwarder/condition_recorder.hpp
@@ -28,7 +28,8 @@
 
   // The events that belong behind the list's: what is known of its endpoints that were not known to
   // the policy, and once of all destinations.
-  [[nodiscard]] std::vector<Event> EventsBehind(const dispatch_policy::EndpointList& list);
+  [[nodiscard]] std::vector<Event> RestoredConditionEvents(
+      const dispatch_policy::EndpointList& list);
 
   // Keeps what binds.
   void Record(const std::vector<dispatch_policy::ConditionChange>& changes, Time now);
@@ -37,28 +38,31 @@
   void OnMessageRestored(dispatch_policy::DestinationId destination);
   // The destinations of restored messages whose conditions an earlier process may have known and
   // this one does not, once each.
-  [[nodiscard]] std::vector<Event> TakeLost();
+  [[nodiscard]] std::vector<Event> TakeLostConditions();
 
   // The policy forgets the endpoint.
-  void OnEndpointForgotten(dispatch_policy::EndpointId endpoint) { restored_.erase(endpoint); }
+  void OnEndpointForgotten(dispatch_policy::EndpointId endpoint) {
+    restored_endpoints_.erase(endpoint);
+  }
 
-  // Tries again what failed on the folder. True if there may be more to restore: EventsBehind is to
+  // Tries again what failed on the folder. True if there may be more to restore: RestoredConditionEvents is to
   // be called for the endpoints that are listed.
   [[nodiscard]] bool Retry(Time now);
 
  private:
-  void Keep(const ConditionRecord& record, bool is_ordinary);
+  void UpdateStore(const ConditionRecord& record, bool is_ordinary);
   void Record(const dispatch_policy::EndpointConditionChange& change, Time now);
   void Record(const dispatch_policy::DestinationConditionChange& change, Time now);
   void AddDestinations(std::vector<Event>& events);
 
   const EndpointRegistry& endpoints_;
   ConditionStore* store_ = nullptr;
-  std::set<dispatch_policy::EndpointId> restored_;  // known to the policy
+  std::set<dispatch_policy::EndpointId> restored_endpoints_;  // known to the policy
   bool destinations_restored_ = false;
-  std::set<dispatch_policy::DestinationId> with_restored_messages_;
+  std::set<dispatch_policy::DestinationId> restored_destinations_;
   // Endpoints of which something binds, by destination.
-  std::map<dispatch_policy::DestinationId, std::set<dispatch_policy::EndpointId>> troubled_;
+  std::map<dispatch_policy::DestinationId, std::set<dispatch_policy::EndpointId>>
+      endpoints_with_conditions_;
 };
 
 }  // namespace brassfront
--- a/src/forwarder/engine.cpp
+++ b/src/forwarder/engine.cpp
@@ -22,9 +22,9 @@
 constexpr milliseconds kHousekeepingInterval{1000};
 constexpr milliseconds kSpoolRetryInterval{250};
 constexpr milliseconds kHoldCheckInterval{5};  // while lists are held back
-constexpr std::uint64_t kWholeList = 0;        // the revision to watch from in a new process
+constexpr std::uint64_t kInitialRevision = 0;  // the revision to watch from in a new process
 constexpr milliseconds kMetricsLineInterval{60'000};
-constexpr milliseconds kLastAnswersLimit{100};  // at the end of the process
+constexpr milliseconds kLastAnswersTimeout{100};  // at the end of the process
 
 MessageTable::Limits MessageLimits(const Config& config) {
   const auto memory = static_cast<double>(config.limits.memory_bytes);
@@ -45,7 +45,7 @@
 }
 
 Engine::Engine(const Config& config, Spool& spool, BufferPool& buffers,
-               DiscoveryWatcher::OnEndpointList divert)
+               DiscoveryWatcher::OnEndpointList on_discovery_list)
     : config_(config),
       loop_(kInboxCapacity, Now),
       policy_(config.policy_settings, config.seed),
@@ -62,9 +62,10 @@
       notification_poster_(config.discovery, messages_.final_answers().outbox(), buffers,
                            [this](NotificationPostResult result) { loop_.Push(result); }),
       discovery_watcher_(
-          config.discovery, kWholeList,
+          config.discovery, kInitialRevision,
           {.size = config.policy_settings.group_size, .seed = config.seed}, buffers,
-          divert ? std::move(divert) : [this](MemberList list) { SetEndpoints(std::move(list)); }) {
+          on_discovery_list ? std::move(on_discovery_list)
+                            : [this](MemberList list) { SetEndpoints(std::move(list)); }) {
   for (const dispatch_policy::ClassSettings& settings : config.policy_settings.classes) {
     known_list_hold_.LimitBy(Now(), settings.deadline);
   }
@@ -165,14 +166,14 @@
 
 // Behind a list that was passed on: what is known of its endpoints.
 void Engine::AddConditions(const dispatch_policy::EndpointList& list) {
-  for (dispatch_policy::Event& event : condition_recorder_.EventsBehind(list)) {
+  for (dispatch_policy::Event& event : condition_recorder_.RestoredConditionEvents(list)) {
     AddListEvent(std::move(event));
   }
 }
 
 // Behind all lists that are held back, as endpoints of any of them may be meant.
 void Engine::AddLostConditions() {
-  for (dispatch_policy::Event& event : condition_recorder_.TakeLost()) {
+  for (dispatch_policy::Event& event : condition_recorder_.TakeLostConditions()) {
     policy_events_.emplace_back(std::move(event));
   }
 }
@@ -196,7 +197,7 @@
   // What Restore decided must not wait for the first event.
   call_dispatcher_.StartReadyCalls(Now());
   while (true) {
-    const Time now = TakeEvents([this] { return NextWakeUp(); });
+    const Time now = ProcessEvents([this] { return NextWakeUp(); });
     ReleaseHeldEvents(now);
     const Time next_decision = last_decision_ + config_.policy_settings.decision_interval;
     if (!policy_events_.empty() && now >= next_decision) Decide(now);
@@ -207,7 +208,7 @@
     if (now >= messages_.NextOverdue()) messages_.LogOverdue(now);
     if (shutdown_.IsOver(now, messages_.size())) break;
   }
-  TakeLastAnswers();
+  ProcessLastAnswers();
   latencies_.LogAndReset(Level::kInfo, messages_.size(), call_dispatcher_.calls().size());
   observe::Log(Concern::kEngine, Level::kInfo, "shutdown complete",
                {{"in_flight", messages_.size()}, {"overdue", messages_.overdue()}});
@@ -215,7 +216,7 @@
 }
 
 // Waits until the wake-up or an event, and takes up all events that have come. Returns the time.
-Engine::Time Engine::TakeEvents(const std::function<Time()>& next_wake_up) {
+Engine::Time Engine::ProcessEvents(const std::function<Time()>& next_wake_up) {
   return loop_.RunOnce(
       next_wake_up,
       [this](InboxEvent event) {
@@ -226,10 +227,10 @@
 
 // At the end of a process: what endpoints have answered by now binds the next one. Nothing is sent
 // any more.
-void Engine::TakeLastAnswers() {
+void Engine::ProcessLastAnswers() {
   call_dispatcher_.CancelAll();
-  const Time end = Now() + kLastAnswersLimit;
-  while (call_dispatcher_.calls().HasStarted() && Now() < end) TakeEvents([&] { return end; });
+  const Time end = Now() + kLastAnswersTimeout;
+  while (call_dispatcher_.calls().HasStarted() && Now() < end) ProcessEvents([&] { return end; });
   const Time now = Now();
   static_cast<void>(policy_.Decide(now, std::exchange(policy_events_, {})));
   condition_recorder_.Record(policy_.TakeConditionChanges(), now);
--- a/src/forwarder/engine.hpp
+++ b/src/forwarder/engine.hpp
@@ -46,7 +46,7 @@
   // its owner passes on by SetEndpoints what follows from them. Throws std::runtime_error where the
   // system has no room for a thread.
   Engine(const Config& config, Spool& spool, BufferPool& buffers,
-         DiscoveryWatcher::OnEndpointList divert = nullptr);
+         DiscoveryWatcher::OnEndpointList on_discovery_list = nullptr);
   ~Engine() override;
 
   // ---- the engine's thread ----
@@ -147,8 +147,8 @@
   [[nodiscard]] Time NextWakeUp() const;
   bool RejectSubmission(MessageId message, SubmitResult result);
   void GiveUpExpired(Time now);
-  Time TakeEvents(const std::function<Time()>& next_wake_up);
-  void TakeLastAnswers();
+  Time ProcessEvents(const std::function<Time()>& next_wake_up);
+  void ProcessLastAnswers();
   void LogMessageStep(const char* event, MessageId message, std::string_view reason = {}) const;
   void DoHousekeeping();
   void PublishMetrics();
--- a/src/forwarder/final_answer_ledger.hpp
+++ b/src/forwarder/final_answer_ledger.hpp
@@ -38,10 +38,10 @@
   // The message was accepted, or taken over from an earlier process. `decided_by`: when it has to
   // be given up at the latest, which is not before its deadline; its grace comes on top. Without
   // effect if it is open.
-  void Open(MessageId message, Time deadline, Time decided_by) {
-    const Obligation obligation{.deadline = deadline, .expires_at = decided_by + kDecisionGrace};
-    const bool opened = open_.try_emplace(message, obligation).second;
-    if (opened) undecided_.insert({obligation.expires_at, message});
+  void Open(MessageId message, Time deadline, Time give_up_by) {
+    const OpenMessage open_message{.deadline = deadline, .expires_at = give_up_by + kDecisionGrace};
+    const bool opened = open_.try_emplace(message, open_message).second;
+    if (opened) undecided_.insert({open_message.expires_at, message});
   }
   void Open(MessageId message, Time deadline) { Open(message, deadline, deadline); }
   // The message will not be delivered, and Notify follows once its client knows that it was
@@ -92,12 +92,12 @@
   [[nodiscard]] std::size_t open() const { return open_.size(); }
 
  private:
-  struct Obligation {
+  struct OpenMessage {
     Time deadline{};
     Time expires_at{};
   };
 
-  std::map<MessageId, Obligation> open_;
+  std::map<MessageId, OpenMessage> open_;
   std::set<std::pair<Time, MessageId>> undecided_;  // of these, not given up; by expires_at
   NotificationOutbox outbox_;
 };
--- a/src/forwarder/known_list_hold.hpp
+++ b/src/forwarder/known_list_hold.hpp
@@ -23,7 +23,7 @@
   using Duration = dispatch_policy::Duration;
 
   static constexpr std::chrono::milliseconds kMaxHold{1000};
-  static constexpr int kMaxShareOfTime = 4;  // one in so many
+  static constexpr int kTimeLeftDivisor = 4;  // one in so many
 
   explicit KnownListHold(Time started) : ends_at_(started + kMaxHold) {}
 
@@ -31,7 +31,7 @@
   void End() { ends_at_ = Time{}; }
   // A message may have so much time from now on.
   void LimitBy(Time now, Duration time_left) {
-    ends_at_ = std::min(ends_at_, now + std::max(time_left, Duration{}) / kMaxShareOfTime);
+    ends_at_ = std::min(ends_at_, now + std::max(time_left, Duration{}) / kTimeLeftDivisor);
   }
   [[nodiscard]] bool IsActive(Time now) const { return now < ends_at_; }
 
--- a/src/forwarder/message_table.cpp
+++ b/src/forwarder/message_table.cpp
@@ -173,7 +173,7 @@
       return GiveUp({.message = message}, "delivered-late", now);
     case MessageEnd::kDeliveredUnsettled:
       return AwaitSettlement(message);
-    case MessageEnd::kOverForTheEndpoint:
+    case MessageEnd::kGone:
       return GiveUp({.message = message}, "gone", now);
   }
 }
--- a/src/forwarder/message_table.hpp
+++ b/src/forwarder/message_table.hpp
@@ -45,7 +45,7 @@
   kDelivered,           // for certain
   kDeliveredInDoubt,    // the platform may not count the answer
   kDeliveredUnsettled,  // the answer may be that of an earlier call
-  kOverForTheEndpoint   // nothing more is owed, as the endpoint says
+  kGone                 // nothing more is owed, as the endpoint says
 };
 
 // Used by the engine's thread alone. Knows no clock: times are the caller's.
--- a/src/forwarder/notification_outbox.cpp
+++ b/src/forwarder/notification_outbox.cpp
@@ -33,13 +33,13 @@
                   .order = next_order_,
                   .urgent_until = now + kUrgentTime};
   if (!pending_.try_emplace(notification.message, std::move(pending)).second) return;
-  new_.emplace(next_order_++, notification.message);
+  unposted_.emplace(next_order_++, notification.message);
 }
 
 void NotificationOutbox::Remove(MessageId message) {
   const auto it = pending_.find(message);
   if (it == pending_.end()) return;
-  new_.erase(it->second.order);
+  unposted_.erase(it->second.order);
   repeats_.erase({it->second.repeat_at, message});
   if (it->second.group != Group{}) --rejected_;
   pending_.erase(it);
@@ -56,13 +56,13 @@
 // them.
 std::vector<NotificationOutbox::MessageId> NotificationOutbox::CollectBatch(Time now) {
   const std::optional<Group> rejected = FindRejectedGroup(now);
-  if (rejected && (rejected_are_next_ || new_.empty())) {
+  if (rejected && (rejected_are_next_ || unposted_.empty())) {
     rejected_are_next_ = false;
     return CollectRepeats(now, *rejected);
   }
   rejected_are_next_ = rejected.has_value();
   std::vector<MessageId> batch;
-  for (auto it = new_.begin(); it != new_.end() && batch.size() < kMaxBatchSize; ++it) {
+  for (auto it = unposted_.begin(); it != unposted_.end() && batch.size() < kMaxBatchSize; ++it) {
     batch.push_back(it->second);
   }
   const std::vector<MessageId> repeats = CollectRepeats(now, Group{});
@@ -73,11 +73,11 @@
 std::vector<NotificationOutbox::MessageId> NotificationOutbox::CollectRepeats(
     Time now, const Group& group) const {
   // A platform that reads late reads the posts alone that do not make way: these carry more.
-  const bool is_patient = PatientPosts() < kMaxPatientPosts;
+  const bool will_be_protected = CountProtectedPosts() < kMaxProtectedPosts;
   std::vector<MessageId> batch;
   for (const Repeat& repeat : repeats_) {
     const bool is_due = repeat.at <= now;
-    if (batch.size() >= group.max_batch || (!is_due && !is_patient)) break;
+    if (batch.size() >= group.max_batch || (!is_due && !will_be_protected)) break;
     const Pending& pending = pending_.at(repeat.message);
     const bool is_old = pending.added_at + kFirstRepeat <= now;
     if (pending.group == group && (is_due || is_old)) batch.push_back(repeat.message);
@@ -100,8 +100,8 @@
                                                        Time now) {
   Post post{.id = next_post_++, .oldest_added_at = now};
   if (running_.size() >= kMaxPosts) {
-    const auto oldest = FindOldestImpatient();
-    post.makes_way = oldest->first;
+    const auto oldest = FindOldestReplaceable();
+    post.replaced_post = oldest->first;
     running_.erase(oldest);
   }
   for (const MessageId message : batch) {
@@ -119,7 +119,7 @@
   running_[post.id] = {.messages = post.messages,
                        .started_at = now,
                        .oldest_added_at = post.oldest_added_at,
-                       .patient = PatientPosts() < kMaxPatientPosts};
+                       .is_protected = CountProtectedPosts() < kMaxProtectedPosts};
   last_start_ = now;
   return post;
 }
@@ -197,7 +197,7 @@
 
 void NotificationOutbox::RepostAll(Time now) {
   for (auto& [message, pending] : pending_) {
-    if (new_.count(pending.order) != 0) continue;
+    if (unposted_.count(pending.order) != 0) continue;
     pending.posts = pending.late_posts = 0;
     pending.urgent_until = now + kUrgentTime;
     RepeatAt(message, pending, now);
@@ -222,14 +222,14 @@
 }
 
 void NotificationOutbox::RepeatAt(MessageId message, Pending& pending, Time at) {
-  new_.erase(pending.order);
+  unposted_.erase(pending.order);
   repeats_.erase({pending.repeat_at, message});
   pending.repeat_at = at;
   repeats_.insert({at, message});
 }
 
 NotificationOutbox::Time NotificationOutbox::NextWakeUp() const {
-  if (!new_.empty()) return EarliestStart();
+  if (!unposted_.empty()) return EarliestStart();
   if (repeats_.empty()) return Time::max();
   return std::max(repeats_.begin()->at, EarliestStart());
 }
@@ -238,19 +238,20 @@
   if (running_.empty()) return Time::min();
   const Time spaced = last_start_ + kPostSpacing;
   if (running_.size() < kMaxPosts) return spaced;
-  return std::max(spaced, FindOldestImpatient()->second.started_at + kMinAgeToMakeWay);
+  return std::max(spaced, FindOldestReplaceable()->second.started_at + kMinAgeToReplace);
 }
 
 // Posts are numbered in the order of their starts. With kMaxPosts running there is one.
 std::map<NotificationOutbox::PostId, NotificationOutbox::RunningPost>::const_iterator
-NotificationOutbox::FindOldestImpatient() const {
+NotificationOutbox::FindOldestReplaceable() const {
   return std::find_if(running_.begin(), running_.end(),
-                      [](const auto& entry) { return !entry.second.patient; });
+                      [](const auto& entry) { return !entry.second.is_protected; });
 }
 
-std::size_t NotificationOutbox::PatientPosts() const {
-  return static_cast<std::size_t>(std::count_if(
-      running_.begin(), running_.end(), [](const auto& entry) { return entry.second.patient; }));
+std::size_t NotificationOutbox::CountProtectedPosts() const {
+  return static_cast<std::size_t>(
+      std::count_if(running_.begin(), running_.end(),
+                    [](const auto& entry) { return entry.second.is_protected; }));
 }
 
 std::optional<NotificationOutbox::Time> NotificationOutbox::OldestAddedAt() const {
--- a/src/forwarder/notification_outbox.hpp
+++ b/src/forwarder/notification_outbox.hpp
@@ -51,12 +51,12 @@
   // Of these, so many are left alone until they end, so that a platform that is always slow
   // confirms at last: they carry whatever was not confirmed soon. The others make way for
   // notifications that were never posted.
-  static constexpr std::size_t kMaxPatientPosts = 2;
+  static constexpr std::size_t kMaxProtectedPosts = 2;
   // Between the starts of two posts while the first is waited for: most answers come sooner.
   static constexpr std::chrono::milliseconds kPostSpacing{25};
   // The age from which on a post makes way.
-  static constexpr std::chrono::milliseconds kMinAgeToMakeWay{100};
-  static constexpr std::chrono::milliseconds kMaxPostDelay = kMinAgeToMakeWay + 2 * kPostSpacing;
+  static constexpr std::chrono::milliseconds kMinAgeToReplace{100};
+  static constexpr std::chrono::milliseconds kMaxPostDelay = kMinAgeToReplace + 2 * kPostSpacing;
   // A notification is urgent for so long: the platform counts it as late soon afterwards.
   static constexpr std::chrono::milliseconds kUrgentTime{300};
   // An urgent one whose post is not answered is posted again after the first of these, then each
@@ -79,9 +79,9 @@
     PostId id = 0;
     std::string body{};
     std::vector<MessageId> messages{};
-    Time oldest_added_at{};             // of its notifications
-    bool repeats = false;               // one that was posted before
-    std::optional<PostId> makes_way{};  // a post that is not waited for any more
+    Time oldest_added_at{};                 // of its notifications
+    bool repeats = false;                   // one that was posted before
+    std::optional<PostId> replaced_post{};  // a post that is not waited for any more
   };
 
   // What a post's end says of its notifications.
@@ -136,7 +136,7 @@
     std::vector<MessageId> messages;
     Time started_at{};
     Time oldest_added_at{};
-    bool patient = false;
+    bool is_protected = false;
   };
   struct Repeat {
     Time at{};
@@ -152,8 +152,8 @@
   [[nodiscard]] std::optional<Group> FindRejectedGroup(Time now) const;
   [[nodiscard]] Post BeginPost(const std::vector<MessageId>& batch, Time now);
   // The oldest post that may make way; none if all are patient.
-  [[nodiscard]] std::map<PostId, RunningPost>::const_iterator FindOldestImpatient() const;
-  [[nodiscard]] std::size_t PatientPosts() const;
+  [[nodiscard]] std::map<PostId, RunningPost>::const_iterator FindOldestReplaceable() const;
+  [[nodiscard]] std::size_t CountProtectedPosts() const;
   [[nodiscard]] Time EarliestStart() const;
   void RepeatAt(MessageId message, Pending& pending, Time at);
   // When it is posted again behind a post of which nothing was heard, or that failed.
@@ -168,7 +168,7 @@
   void Retry(const RunningPost& post, Time now);
 
   std::map<MessageId, Pending> pending_;
-  std::map<std::uint64_t, MessageId> new_;  // of these, never posted; by their order
+  std::map<std::uint64_t, MessageId> unposted_;  // of these, never posted; by their order
   std::uint64_t next_order_ = 0;
   std::set<Repeat> repeats_;  // the others
   std::size_t rejected_ = 0;  // of these, those that are not in the group of all others
--- a/src/forwarder/notification_poster.cpp
+++ b/src/forwarder/notification_poster.cpp
@@ -59,7 +59,7 @@
 // After a decision, so that the calls of the messages that were given up have been cancelled.
 void NotificationPoster::StartDue(Time now) {
   while (auto post = outbox_.NextPost(now)) {
-    if (post->makes_way) client_.Abandon(*post->makes_way);
+    if (post->replaced_post) client_.Abandon(*post->replaced_post);
     const auto reuse =
         post->repeats ? NotificationClient::Reuse::kForbidden : NotificationClient::Reuse::kAllowed;
     client_.Start(post->id, std::move(post->body), reuse);
--- a/src/operators/operator_server.cpp
+++ b/src/operators/operator_server.cpp
@@ -62,22 +62,22 @@
 
 // Waits for one tick at most, and serves what has come.
 void OperatorServer::WaitForInput() {
-  std::vector<pollfd> waited_for{{wakeup_.fd(), POLLIN, 0}, {listener_.fd(), POLLIN, 0}};
+  std::vector<pollfd> poll_entries{{wakeup_.fd(), POLLIN, 0}, {listener_.fd(), POLLIN, 0}};
   for (const Connection& connection : connections_) {
-    waited_for.push_back({connection.socket.fd(), POLLIN, 0});
+    poll_entries.push_back({connection.socket.fd(), POLLIN, 0});
   }
-  const int ready = poll(waited_for.data(), waited_for.size(), kTickInterval.count());
+  const int ready = poll(poll_entries.data(), poll_entries.size(), kTickInterval.count());
   if (ready < 0) {
     observe::CountSystemCallFailure("poll", errno);
     Pause(kTransientPause);
     return;
   }
-  auto waited = waited_for.begin() + 2;
-  for (auto it = connections_.begin(); it != connections_.end(); ++waited) {
+  auto entry = poll_entries.begin() + 2;
+  for (auto it = connections_.begin(); it != connections_.end(); ++entry) {
     Connection& connection = *it++;  // serving it may remove it
-    if (waited->revents != 0) Serve(connection);
+    if (entry->revents != 0) Serve(connection);
   }
-  if (waited_for[1].revents != 0) AcceptCallers();
+  if (poll_entries[1].revents != 0) AcceptCallers();
 }
 
 void OperatorServer::AcceptCallers() {
--- a/tests/forwarder/agent_troubles.hpp
+++ b/tests/forwarder/agent_troubles.hpp
@@ -41,7 +41,8 @@
 };
 
 // Whether a post names one of these messages.
-[[nodiscard]] inline bool HoldsAny(const std::string& body, const std::vector<std::string>& ids) {
+[[nodiscard]] inline bool ContainsAny(const std::string& body,
+                                      const std::vector<std::string>& ids) {
   return std::any_of(ids.begin(), ids.end(), [&](const std::string& id) {
     return body.find("\"" + id + "\"") != std::string::npos;
   });
--- a/tests/forwarder/message_table_test.cpp
+++ b/tests/forwarder/message_table_test.cpp
@@ -230,7 +230,7 @@
 // Guards against the end of a message whose endpoint alone says that nothing more is owed.
 TEST_CASE_FIXTURE(TableFixture, "a message that its endpoint takes for over is notified") {
   const auto message = AddPersisted("m");
-  table->Conclude(message, MessageEnd::kOverForTheEndpoint, kStart);
+  table->Conclude(message, MessageEnd::kGone, kStart);
   CHECK(table->final_answers().outbox().size() == 1);
 }
 
--- a/tests/forwarder/notification_outbox_test.cpp
+++ b/tests/forwarder/notification_outbox_test.cpp
@@ -90,7 +90,7 @@
   const auto first = outbox.NextPost(kStart);
   REQUIRE(first);
   for (auto now = kStart; now < kStart + seconds(4); now += milliseconds(5)) {
-    if (const auto post = outbox.NextPost(now)) CHECK(post->makes_way != first->id);
+    if (const auto post = outbox.NextPost(now)) CHECK(post->replaced_post != first->id);
   }
   const auto end = outbox.Complete(first->id, PostOutcome::kConfirmed, kStart + seconds(4));
   REQUIRE(end);
--- a/tests/forwarder/order_player.hpp
+++ b/tests/forwarder/order_player.hpp
@@ -31,7 +31,7 @@
 
 namespace brassfront::exploration {
 
-class OrderPlayer : private Surroundings {
+class OrderPlayer : private Environment {
  public:
   // The folder of `owner` is emptied of its spool. The arguments outlive the player. What happens
   // is written to `trace`, if it is given.
@@ -50,8 +50,8 @@
       std::visit([this](const auto& alternative) { Prepare(alternative); }, step);
     }
     StartProcess({.ready = Millis(0), .first_list = Millis(5)});
-    while (!IsCalm() && now_ < end_ && rounds_ < kMaxRounds) RunNext();
-    CheckCalm();
+    while (!IsIdle() && now_ < end_ && rounds_ < kMaxRounds) RunNext();
+    CheckIdle();
     return judge_.Finish();
   }
 
@@ -63,17 +63,17 @@
   static constexpr Time kRoundTime = std::chrono::microseconds(20);  // that a round takes
   static constexpr Time kHopTime = std::chrono::microseconds(200);   // between threads and peers
   static constexpr std::size_t kMaxRounds = 200'000;
-  static constexpr Millis kSettlingTime{20'000};  // behind the last step and deadline
-  static constexpr Millis kClientPatience{400};   // of the protocol page
-  static constexpr Millis kKillAfterTerm{3700};   // of the protocol page
+  static constexpr Millis kSettlingTime{20'000};     // behind the last step and deadline
+  static constexpr Millis kClientReplyTimeout{400};  // of the protocol page
+  static constexpr Millis kKillAfterTerm{3700};      // of the protocol page
   static constexpr Millis kHealthCheckTime{5};
 
   // Something outside of the forwarder's loop that happens at its time.
-  struct Happening {
+  struct ScheduledEvent {
     Time at{};
     std::uint64_t number = 0;
     Function function;
-    friend bool operator<(const Happening& left, const Happening& right) {
+    friend bool operator<(const ScheduledEvent& left, const ScheduledEvent& right) {
       return std::tie(right.at, right.number) < std::tie(left.at, left.number);
     }
   };
@@ -116,7 +116,7 @@
   [[nodiscard]] Time Now() const override { return now_; }
 
   void At(Time at, Function function) {
-    happenings_.push({at, next_number_++, std::move(function)});
+    scheduled_events_.push({at, next_number_++, std::move(function)});
   }
   // In a thread of the present process, if that lives then; later if it is held up.
   void InProcess(Time at, Function function) {
@@ -126,17 +126,17 @@
       function(std::max(when, now_));
     });
   }
-  void Until(Time at) { end_ = std::max(end_, at + kSettlingTime); }
+  void ExtendEnd(Time at) { end_ = std::max(end_, at + kSettlingTime); }
 
   // The next happening or round of the loop, whichever is first.
   void RunNext() {
     Time round_at = Time::max();
     if (forwarder_) round_at = std::max({forwarder_->NextRoundAt(), held_until_, now_});
-    if (!happenings_.empty() && happenings_.top().at <= round_at) {
-      const Happening happening = happenings_.top();
-      happenings_.pop();
-      now_ = std::max(now_, happening.at);
-      return happening.function(happening.at);
+    if (!scheduled_events_.empty() && scheduled_events_.top().at <= round_at) {
+      const ScheduledEvent event = scheduled_events_.top();
+      scheduled_events_.pop();
+      now_ = std::max(now_, event.at);
+      return event.function(event.at);
     }
     if (round_at == Time::max()) {
       now_ = end_;
@@ -167,24 +167,24 @@
   // ======== steps ========
 
   void Prepare(const Submit& step) {
-    Until(kStart + step.at + step.time);
+    ExtendEnd(kStart + step.at + step.time);
     submits_[step.id] = &step;
     At(kStart + step.at, [this, &step](Time at) {
       judge_.OnSubmitted(step, at);
       At(at + step.transit, [this, &step](Time arrived) {
         if (!forwarder_ || arrived < ready_at_) return;  // no connection
-        InProcess(arrived, [this, &step](Time read) { HandIn(step, read); });
+        InProcess(arrived, [this, &step](Time read) { SubmitRequest(step, read); });
       });
     });
   }
 
   void Prepare(const ChangeEndpoint& step) {
-    Until(kStart + step.at + step.delay);
+    ExtendEnd(kStart + step.at + step.delay);
     At(kStart + step.at, [this, &step](Time at) {
       Member& member = members_.at(step.endpoint);
       member.phase = step.phase;
-      last_told_ = std::max(last_told_, at + step.delay);  // the stream keeps the order
-      At(last_told_, [this, change = Change{member, ++revision_}](Time) {
+      last_list_at_ = std::max(last_list_at_, at + step.delay);  // the stream keeps the order
+      At(last_list_at_, [this, change = Change{member, ++revision_}](Time) {
         if (!forwarder_ || !watch_is_open_) return;
         Trace("list told");
         forwarder_->Push(MemberList{.revision = change.revision, .members = {change.member}});
@@ -193,7 +193,7 @@
   }
 
   void Prepare(const AgentTrouble& step) {
-    Until(kStart + step.until);
+    ExtendEnd(kStart + step.until);
     troubles_.Add(step);
     judge_.AddTrouble(step, kStart + step.at, kStart + step.until);
     if (step.kind != AgentTrouble::Kind::kMoved) return;
@@ -203,7 +203,7 @@
   }
 
   void Prepare(const HoldUp& step) {
-    Until(kStart + step.at);
+    ExtendEnd(kStart + step.at);
     At(kStart + step.at, [this, &step](Time at) {
       if (step.within_decision) {
         hold_up_within_ = step.duration;
@@ -215,7 +215,7 @@
   }
 
   void Prepare(const Restart& step) {
-    Until(kStart + step.at + kKillAfterTerm + step.down + step.ready);
+    ExtendEnd(kStart + step.at + kKillAfterTerm + step.down + step.ready);
     At(kStart + step.at, [this, &step](Time at) {
       if (!forwarder_ || shutting_down_) return;
       judge_.OnRestart(at);
@@ -239,8 +239,8 @@
     ++process_;
     spool_.emplace(owner_, kSpoolBytes,
                    [this](const std::string& line) { judge_.Report("spool", line, now_); });
-    auto& surroundings = static_cast<Surroundings&>(*this);
-    forwarder_.emplace(config_, *spool_, surroundings, now_ + step.exclusions_known);
+    auto& environment = static_cast<Environment&>(*this);
+    forwarder_.emplace(config_, *spool_, environment, now_ + step.exclusions_known);
     Trace("process started, " + std::to_string(spool_->open_messages()) + " messages open");
     forwarder_->Restore();
     EndStoppedCalls();
@@ -272,7 +272,7 @@
 
   // ======== clients ========
 
-  void HandIn(const Submit& step, Time read) {
+  void SubmitRequest(const Submit& step, Time read) {
     judge_.OnRequestRead(step.id, read);
     if (!forwarder_->KnowsDestination(step.destination)) return Trace(step.id + " refused unread");
     DeliveryRequest request;
@@ -290,7 +290,7 @@
   void OnAccepted(MessageId message, const std::string& client_id) override {
     const Submit& step = *submits_.at(client_id);
     InProcess(now_ + kHopTime, [this, &step, message](Time at) {
-      const bool left = at > kStart + step.at + kClientPatience;
+      const bool left = at > kStart + step.at + kClientReplyTimeout;
       if (left || step.client == Submit::Client::kLeavesBeforeReply) {
         Trace(step.id + " cancelled: its client has gone");
         return forwarder_->Push(VirtualForwarder::ClientDisconnected{message});
@@ -437,7 +437,7 @@
   void StartPost(std::uint64_t post, std::string body) override {
     open_posts_.insert(post);
     At(now_ + kHopTime, [this, process = process_, post, body = std::move(body)](Time at) {
-      if (process == process_) TakePost(post, body, at);
+      if (process == process_) ReceivePost(post, body, at);
     });
   }
   void AbandonPost(std::uint64_t post) override { open_posts_.erase(post); }
@@ -447,7 +447,7 @@
     }
   }
 
-  void TakePost(std::uint64_t post, const std::string& body, Time at) {
+  void ReceivePost(std::uint64_t post, const std::string& body, Time at) {
     using Kind = AgentTrouble::Kind;
     if (open_posts_.count(post) == 0) return;
     const AgentTrouble* trouble = troubles_.At(at - kStart);
@@ -468,7 +468,7 @@
       case Kind::kError:
         return EndPost(post, at + trouble->delay, 500, {});
       case Kind::kRejects:
-        if (!HoldsAny(body, trouble->rejected)) return EndPost(post, at, kHttpNoContent, body);
+        if (!ContainsAny(body, trouble->rejected)) return EndPost(post, at, kHttpNoContent, body);
         return EndPost(post, at + trouble->delay, 400, {});
       default:  // refused
         return EndPost(post, at, 0, {});
@@ -501,8 +501,8 @@
 
   // ======== the end ========
 
-  [[nodiscard]] bool IsCalm() {
-    return happenings_.empty() && forwarder_ && forwarder_->messages().size() == 0 &&
+  [[nodiscard]] bool IsIdle() {
+    return scheduled_events_.empty() && forwarder_ && forwarder_->messages().size() == 0 &&
            calls_.empty() && forwarder_->NextRoundAt() > now_;
   }
 
@@ -511,7 +511,7 @@
     if (!totals.Balances(spool_->open_messages())) judge_.Report("accounting", "totals", now_);
   }
 
-  void CheckCalm() {
+  void CheckIdle() {
     if (rounds_ >= kMaxRounds) judge_.Report("livelock", "rounds without an end", now_);
     if (!forwarder_) return judge_.Report("open", "no process at the end", now_);
     CheckTotals();
@@ -543,7 +543,7 @@
   Time now_ = kStart;
   Time end_ = kStart + kSettlingTime;
   std::size_t rounds_ = 0;
-  std::priority_queue<Happening> happenings_;
+  std::priority_queue<ScheduledEvent> scheduled_events_;
   std::uint64_t next_number_ = 0;
   Time held_until_{};
   Millis hold_up_within_{};  // of the next decision
@@ -557,7 +557,7 @@
   std::map<std::string, const Submit*> submits_;
   std::map<std::string, std::size_t> answers_taken_;
   std::uint64_t revision_ = 1;
-  Time last_told_{};
+  Time last_list_at_{};
   bool watch_is_open_ = false;
   std::map<std::uint64_t, RunningCall> calls_;
   std::uint64_t next_call_ = 0;
--- a/tests/forwarder/virtual_forwarder.hpp
+++ b/tests/forwarder/virtual_forwarder.hpp
@@ -51,12 +51,12 @@
 
 // The threads, peers and clock around a forwarder. It must not call the forwarder back at once:
 // what follows from a call is passed in later.
-class Surroundings {
+class Environment {
  public:
-  Surroundings() = default;
-  Surroundings(const Surroundings&) = delete;
-  Surroundings& operator=(const Surroundings&) = delete;
-  virtual ~Surroundings() = default;
+  Environment() = default;
+  Environment(const Environment&) = delete;
+  Environment& operator=(const Environment&) = delete;
+  virtual ~Environment() = default;
 
   [[nodiscard]] virtual Time Now() const = 0;
   // The process may be held up here: a decision was made, and nothing of it was carried out.
@@ -97,14 +97,14 @@
 
   // The arguments outlive the forwarder. No restored message and no list is passed on to the policy
   // before `exclusions_known_at`.
-  VirtualForwarder(const Config& config, Spool& spool, Surroundings& surroundings,
+  VirtualForwarder(const Config& config, Spool& spool, Environment& environment,
                    Time exclusions_known_at)
       : config_(config),
         spool_(spool),
-        surroundings_(surroundings),
+        environment_(environment),
         exclusions_known_at_(exclusions_known_at),
         policy_(config.policy_settings, config.seed),
-        known_list_hold_(surroundings.Now()),
+        known_list_hold_(environment.Now()),
         messages_(spool, {.max_in_flight = config.policy_settings.max_in_flight,
                           .max_body_bytes = kMaxBodyMemory}),
         endpoints_(config),
@@ -161,7 +161,7 @@
   [[nodiscard]] MessageTable& messages() { return messages_; }
 
  private:
-  [[nodiscard]] Time Now() const { return surroundings_.Now(); }
+  [[nodiscard]] Time Now() const { return environment_.Now(); }
 
   // Rejections and failures are applied before accepted messages are persisted, all else after.
   [[nodiscard]] static bool EndsMessage(const dispatch_policy::Action& action) {
@@ -208,7 +208,7 @@
     last_decision_ = now;
     const std::vector<dispatch_policy::Event> events = std::exchange(policy_events_, {});
     const std::vector<dispatch_policy::Action> actions = policy_.Decide(now, events);
-    surroundings_.MaybeHoldUp();
+    environment_.MaybeHoldUp();
     const auto apply = [this](const auto& action) { Apply(action); };
     for (const dispatch_policy::Action& action : actions) {
       if (EndsMessage(action)) std::visit(apply, action);
@@ -227,9 +227,9 @@
       const std::string client_id = submission.request.id;
       if (messages_.Persist(message, std::move(submission.request), submission.received_at, now,
                             SpoolTimeAt(now))) {
-        surroundings_.OnAccepted(message, client_id);
+        environment_.OnAccepted(message, client_id);
       } else {
-        surroundings_.OnRefused(client_id);
+        environment_.OnRefused(client_id);
         policy_events_.emplace_back(dispatch_policy::MessageCancelled{message});
       }
     }
@@ -245,8 +245,8 @@
   void StartPosts(Time now) {
     NotificationOutbox& outbox = messages_.final_answers().outbox();
     while (auto post = outbox.NextPost(now)) {
-      if (post->makes_way) surroundings_.AbandonPost(*post->makes_way);
-      surroundings_.StartPost(post->id, std::move(post->body));
+      if (post->replaced_post) environment_.AbandonPost(*post->replaced_post);
+      environment_.StartPost(post->id, std::move(post->body));
     }
   }
 
@@ -266,13 +266,13 @@
   void On(Submission submission) {
     DeliveryRequest& request = submission.request;
     if (messages_.HasClientId(request.id) || !messages_.HasCapacityFor(request.body.size())) {
-      return surroundings_.OnRefused(request.id);
+      return environment_.OnRefused(request.id);
     }
     const auto& message_class = config_.policy_settings.classes.at(submission.message_class);
     request.time_left =
         std::min<std::chrono::milliseconds>(request.time_left, CeilToMs(message_class.deadline));
     if (submission.received_at + request.time_left <= Now()) {
-      return surroundings_.OnRefused(request.id);
+      return environment_.OnRefused(request.id);
     }
     dispatch_policy::MessageArrived event;
     event.message = messages_.Add(request);
@@ -309,7 +309,7 @@
   }
 
   void On(const DiscoveryAddressChanged&) {
-    surroundings_.OnDiscoveryAddressChanged();
+    environment_.OnDiscoveryAddressChanged();
     messages_.final_answers().outbox().RepostAll(Now());
   }
 
@@ -330,7 +330,7 @@
   bool RefuseSubmission(MessageId message) {
     const auto node = submissions_.extract(message);
     if (node.empty()) return false;
-    surroundings_.OnRefused(node.mapped().request.id);
+    environment_.OnRefused(node.mapped().request.id);
     messages_.Remove(message);
     return true;
   }
@@ -399,7 +399,7 @@
     call.endpoint_call =
         std::make_shared<EndpointCall>(id, call.endpoint, endpoint.address, "", SteadyTime::max());
     deadlines_.Set(call.deadline, {DeadlineKind::kCallTimeout, id});
-    surroundings_.StartCall(call, endpoint.name, call.start_by);
+    environment_.StartCall(call, endpoint.name, call.start_by);
     return true;
   }
 
@@ -449,7 +449,7 @@
 
   const Config& config_;
   Spool& spool_;
-  Surroundings& surroundings_;
+  Environment& environment_;
   const Time exclusions_known_at_;
   std::vector<InboxEvent> inbox_;
   DeadlineQueue deadlines_;
