--- a/src/exclusions/exclusion_file.hpp
+++ b/src/exclusions/exclusion_file.hpp
@@ -1,5 +1,6 @@
-// The endpoints that operators have taken out, in a file that outlasts the process. It is replaced
-// as a whole, so that another process that shares the folder reads all of it or the one before.
+// The endpoints that operators have excluded, in a file that is kept when the process ends. The
+// file is replaced atomically, so that another process that shares the folder reads either the
+// complete new file or the previous one.
 #ifndef BRASSFRONT_EXCLUSIONS_EXCLUSION_FILE_HPP_
 #define BRASSFRONT_EXCLUSIONS_EXCLUSION_FILE_HPP_
 
@@ -12,16 +13,18 @@
 
 class ExclusionFile {
  public:
-  // With the file that replaces it for a moment, the two stay within these bytes: one that would be
-  // larger is not written.
+  // Maximum size of the file together with the new file that replaces it. Write fails if the new
+  // file would be larger than half of this.
   static constexpr std::size_t kMaxBytesOnDisk = std::size_t{64} * 1024;
 
   explicit ExclusionFile(const std::string& folder) : path_(folder + "/exclusions") {}
 
-  // None if it can't be read now; errno tells why. A file that is not there stands for no endpoint.
-  // One that can't be understood is put aside as `exclusions.damaged` and stands for none as well.
+  // Returns nothing if the file cannot be read now, with the reason in errno. A missing file means
+  // that no endpoint is excluded. A file that cannot be parsed is renamed to `exclusions.damaged`
+  // and also means that no endpoint is excluded.
   [[nodiscard]] std::optional<std::set<std::string>> Read() const;
-  // Returns once it is on the disk. False if it can't be written now; errno tells why.
+  // Returns true once the file is on the disk. Returns false if it cannot be written now, with the
+  // reason in errno.
   [[nodiscard]] bool Write(const std::set<std::string>& endpoints) const;
 
  private:
--- a/src/forwarder/call_answer.hpp
+++ b/src/forwarder/call_answer.hpp
@@ -1,4 +1,4 @@
-// What the answer to a call means for each message in it.
+// Interprets the answer to a call for each message in it.
 #ifndef BRASSFRONT_FORWARDER_CALL_ANSWER_HPP_
 #define BRASSFRONT_FORWARDER_CALL_ANSWER_HPP_
 
@@ -10,15 +10,15 @@
 
 namespace brassfront {
 
-// One result for each attempt of a call with messages, in their order. A delivery is in doubt where
-// it is not certain to count for each message of the call: the platform counts nothing of a call
-// that outlasts one of its messages.
+// Returns one result for each attempt of a call with messages, in the order of the attempts. The
+// deliveries of a call are in doubt unless the delivery of each of its messages is certain to
+// count: the platform counts nothing of a call that completes after the end of one of its messages.
 [[nodiscard]] std::vector<AttemptResult> ReadCallAnswer(const PendingCall& call,
                                                         const EndpointCallResult& answer,
                                                         const MessageTable& messages,
                                                         dispatch_policy::Time now);
 
-// Of a result that says that its message is over.
+// Returns how the message ends. The result must have `message_over` set.
 [[nodiscard]] MessageEnd ToMessageEnd(const AttemptResult& result);
 
 }  // namespace brassfront
--- a/src/forwarder/call_dispatcher.cpp
+++ b/src/forwarder/call_dispatcher.cpp
@@ -19,12 +19,12 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-constexpr std::size_t kDefaultConcurrentCalls = 32;   // where the settings have no maximum
-constexpr std::size_t kMaxHealthChecks = 16;          // beside the concurrent calls
+constexpr std::size_t kDefaultConcurrentCalls = 32;   // if the settings have no maximum
+constexpr std::size_t kMaxHealthChecks = 16;          // in addition to the concurrent calls
 constexpr std::size_t kIdleConnectionDivisor = 16;    // a sixteenth of the descriptors
 constexpr milliseconds kSettlementCheckInterval{25};  // while a delivery is unsettled
 constexpr const char* kHealthCheckPath = "/-/healthy";
-// The comma behind an item of a batch, and the brackets around all, at most.
+// Upper bound for the comma after an item of a batch and the brackets around all items.
 constexpr std::size_t kBatchItemOverheadBytes = 2;
 
 std::string_view ToString(dispatch_policy::Outcome outcome) {
@@ -194,7 +194,8 @@
   const milliseconds retry_after = ParseRetryAfter(result);
   if (retry_after <= milliseconds(0)) return;
   LogRetryAfter(context_.endpoints.Target(call->endpoint), retry_after);
-  // The Retry-After binds all calls under the same rate limit that are not being written yet.
+  // The Retry-After applies to all calls under the same rate limit whose requests are not yet being
+  // written.
   calls_.WithdrawCalls(
       [&](auto endpoint) { return context_.endpoints.SharesRateLimit(call->endpoint, endpoint); });
 }
@@ -231,7 +232,7 @@
   CompleteAttempt(call, attempt, {.outcome = dispatch_policy::Outcome::kNotSent}, {}, now);
 }
 
-// `completed` has what the call's answer says of all attempts.
+// `completed` holds the part of the call's answer that applies to all attempts.
 void CallDispatcher::CompleteAttempt(const PendingCall& call, const PendingAttempt& attempt,
                                      const AttemptResult& result,
                                      dispatch_policy::AttemptCompleted completed, Time now) {
@@ -292,7 +293,7 @@
 }
 
 void CallDispatcher::OnEndpointForgotten(dispatch_policy::EndpointId endpoint) {
-  // A call that was out when the endpoint was removed may have left a connection since.
+  // A call that was in flight when the endpoint was removed may have left an idle connection.
   endpoint_client_.RemoveEndpoint(endpoint);
 }
 
--- a/src/forwarder/call_dispatcher.hpp
+++ b/src/forwarder/call_dispatcher.hpp
@@ -1,5 +1,5 @@
-// Carries out the calls that the policy asks for: records their attempts, hands them to the threads
-// of EndpointClient, and tells the policy how they ended.
+// Carries out the calls that the policy decides on: records their attempts, passes them to the
+// threads of EndpointClient, and reports their outcomes to the policy.
 #ifndef BRASSFRONT_FORWARDER_CALL_DISPATCHER_HPP_
 #define BRASSFRONT_FORWARDER_CALL_DISPATCHER_HPP_
 
@@ -22,14 +22,14 @@
 
 namespace brassfront {
 
-// Used by the engine's thread alone; `on_result` is called by the threads that carry out calls.
+// Used only by the engine's thread; `on_result` is called by the threads that carry out calls.
 class CallDispatcher : private CallTracker::Starter {
  public:
   using Time = dispatch_policy::Time;
   using MessageId = dispatch_policy::MessageId;
   using SetDeadline = std::function<void(Time, Deadline)>;
 
-  // What the dispatcher shares with the engine, which owns all of it and outlives the dispatcher.
+  // State shared with the engine, which owns it and outlives the dispatcher.
   struct Context {
     const Config& config;
     MessageTable& messages;
@@ -38,18 +38,20 @@
     std::vector<dispatch_policy::Event>& policy_events;  // for the next decision
   };
 
-  // Connections to endpoints at once, at most: running calls, health checks and idle ones.
+  // Maximum number of simultaneous connections to endpoints, used for running calls and health
+  // checks or idle.
   [[nodiscard]] static std::size_t MaxConnections(const Config& config);
 
-  // Deadlines of kind kCallTimeout, kIdleConnectionExpiry and kSettlementCheck come back by the
-  // methods below. Throws std::runtime_error where the system has no room for a thread.
+  // When a deadline of kind kCallTimeout, kIdleConnectionExpiry or kSettlementCheck is due, the
+  // engine calls the matching method below. Throws std::runtime_error if a thread cannot be
+  // created.
   CallDispatcher(const Context& context, BufferPool& buffers, EndpointClient::OnResult on_result,
                  SetDeadline set_deadline);
 
-  // Sees every call from now on, and outlives the dispatcher.
+  // The observer is notified of every call from now on. It must outlive the dispatcher.
   void SetCallObserver(CallObserver& observer) { call_observer_ = &observer; }
 
-  // Asked before each call from now on, and outlives the dispatcher.
+  // The exclusions are checked before each call from now on. They must outlive the dispatcher.
   void SetExclusions(const EndpointExclusions& exclusions) { exclusions_ = &exclusions; }
 
   // ---- the policy's actions ----
@@ -57,25 +59,27 @@
   void Send(const dispatch_policy::SendAttempt& action, Time decided_at);
   void StartHealthCheck(const dispatch_policy::StartHealthCheck& action, Time decided_at);
   void Cancel(const dispatch_policy::CancelAttempt& action);
-  // To be called after all actions of a decision: later attempts do not share its calls.
+  // Must be called after all actions of a decision: later attempts do not share its calls.
   void CloseBatches() { calls_.CloseBatches(); }
 
   // ---- events ----
 
-  // Starts what may be started by now.
+  // Starts the calls that may start by now.
   void StartReadyCalls(Time now) { calls_.StartReadyCalls(now, *this); }
   void OnResult(const EndpointCallResult& result);
   void OnTimeout(CallId call) { calls_.OnTimeout(call); }
-  // The endpoint list has changed: calls to endpoints that do not serve any more are withdrawn
-  // unless they are being written, and idle connections there are closed.
+  // Must be called when the endpoint list has changed. Withdraws calls to endpoints that no longer
+  // serve, unless the request is already being written, and closes idle connections to them.
   void OnEndpointsChanged();
   void OnEndpointForgotten(dispatch_policy::EndpointId endpoint);
   void OnIdleConnectionExpiry();
   void CloseExpiredIdle() { endpoint_client_.CloseExpiredIdle(); }
-  // Ends messages whose deliveries have become certain, and notifies the platform of doubtful ones.
+  // Ends messages whose deliveries have become certain, and notifies the platform of messages whose
+  // deliveries are in doubt.
   void OnSettlementCheck(Time now);
 
-  // At the end of the process: calls that wait are withdrawn, started ones end with what has come.
+  // Called at the end of the process. Withdraws calls that have not started; aborts started calls,
+  // which complete with what has been received of their answers.
   void CancelAll();
 
   // Calls that have not completed, started or not.
@@ -102,8 +106,8 @@
   const EndpointExclusions* exclusions_ = nullptr;
   CallTracker calls_;
   UnsettledDeliveries unsettled_deliveries_;
-  Time idle_expiry_at_ = Time::max();  // the earliest deadline set for it
-  EndpointClient endpoint_client_;     // last, so that its threads end first
+  Time idle_expiry_at_ = Time::max();  // earliest deadline set for idle connections
+  EndpointClient endpoint_client_;     // the last member, so that its threads end first
 };
 
 }  // namespace brassfront
--- a/src/forwarder/call_tracker.cpp
+++ b/src/forwarder/call_tracker.cpp
@@ -125,8 +125,8 @@
 void CallTracker::OnTimeout(CallId id) {
   const auto it = calls_.find(id);
   if (it == calls_.end()) return;
-  // A batch ends with the shortest of its messages' times, so its silence says nothing about the
-  // endpoint.
+  // A batch ends with the shortest of its messages' times, so a missing answer does not mean that
+  // the endpoint is at fault.
   const bool batch = it->second.attempts.size() > 1;
   it->second.endpoint_call->Abort(batch ? EndpointCall::StopReason::kCancelled
                                         : EndpointCall::StopReason::kTimedOut);
--- a/src/forwarder/clock.hpp
+++ b/src/forwarder/clock.hpp
@@ -1,5 +1,5 @@
 // The engine's clock and its conversions. The dispatch policy counts nanoseconds of the steady
-// clock; what is stored counts by the spool's clock (spool/spool_clock.hpp), never by the wall
+// clock. Stored times are times of the spool's clock (spool/spool_clock.hpp), never of the wall
 // clock.
 #ifndef BRASSFRONT_FORWARDER_CLOCK_HPP_
 #define BRASSFRONT_FORWARDER_CLOCK_HPP_
--- a/src/forwarder/condition_recorder.hpp
+++ b/src/forwarder/condition_recorder.hpp
@@ -1,5 +1,6 @@
-// Keeps what the policy observes of endpoints in the ConditionStore, and hands it to the policy of
-// the next process, or of this one where a forgotten endpoint is listed again. No I/O of its own.
+// Stores the conditions that the policy observes in the ConditionStore, and passes them to the
+// policy of the next process, or to the policy of this process when a forgotten endpoint is listed
+// again. Does no I/O itself.
 #ifndef BRASSFRONT_FORWARDER_CONDITION_RECORDER_HPP_
 #define BRASSFRONT_FORWARDER_CONDITION_RECORDER_HPP_
 
@@ -13,7 +14,7 @@
 
 namespace brassfront {
 
-// Used by the engine's thread alone.
+// Used only by the engine's thread.
 class ConditionRecorder {
  public:
   using Time = dispatch_policy::Time;
@@ -22,31 +23,32 @@
   // The endpoints outlive the recorder.
   explicit ConditionRecorder(const EndpointRegistry& endpoints) : endpoints_(endpoints) {}
 
-  // To be called before anything else, if at all: nothing is kept without a store, which outlives
-  // the recorder.
+  // If it is called at all, it must be called before all other methods. Without a store nothing is
+  // recorded. The store must outlive the recorder.
   void SetStore(ConditionStore& store) { store_ = &store; }
 
-  // The events that belong behind the list's: what is known of its endpoints that were not known to
-  // the policy, and once of all destinations.
+  // Returns the events that must follow the list's event: the stored conditions of its endpoints
+  // that the policy does not know yet, and in the first call those of all destinations.
   [[nodiscard]] std::vector<Event> RestoredConditionEvents(
       const dispatch_policy::EndpointList& list);
 
-  // Keeps what binds.
+  // Stores the conditions that would change the policy's decisions, and erases the others.
   void Record(const std::vector<dispatch_policy::ConditionChange>& changes, Time now);
 
-  // A message of an earlier process was restored: its destination's condition is needed.
+  // Must be called when a message of an earlier process was restored: the condition of its
+  // destination is needed.
   void OnMessageRestored(dispatch_policy::DestinationId destination);
-  // The destinations of restored messages whose conditions an earlier process may have known and
-  // this one does not, once each.
+  // Returns an event for each destination of restored messages whose condition an earlier process
+  // may have known and this one does not. Each destination is returned once.
   [[nodiscard]] std::vector<Event> TakeLostConditions();
 
-  // The policy forgets the endpoint.
+  // Must be called when the policy forgets the endpoint.
   void OnEndpointForgotten(dispatch_policy::EndpointId endpoint) {
     restored_endpoints_.erase(endpoint);
   }
 
-  // Tries again what failed on the folder. True if there may be more to restore: RestoredConditionEvents is to
-  // be called for the endpoints that are listed.
+  // Retries failed operations on the folder. Returns true if there may be more to restore;
+  // RestoredConditionEvents must then be called for the listed endpoints.
   [[nodiscard]] bool Retry(Time now);
 
  private:
@@ -60,7 +62,7 @@
   std::set<dispatch_policy::EndpointId> restored_endpoints_;  // known to the policy
   bool destinations_restored_ = false;
   std::set<dispatch_policy::DestinationId> restored_destinations_;
-  // Endpoints of which something binds, by destination.
+  // Endpoints with a stored condition, by destination.
   std::map<dispatch_policy::DestinationId, std::set<dispatch_policy::EndpointId>>
       endpoints_with_conditions_;
 };
--- a/src/forwarder/deadline_queue.hpp
+++ b/src/forwarder/deadline_queue.hpp
@@ -1,5 +1,5 @@
-// The engine's deadlines, sorted by time. A deadline is never removed before its time: whoever
-// handles it ignores one whose call or timer no longer matters. Knows no clock; used by one thread.
+// The engine's deadlines, sorted by time. A deadline is never removed before it is due: its handler
+// ignores it if its call or timer no longer matters. Reads no clock; used by one thread.
 #ifndef BRASSFRONT_FORWARDER_DEADLINE_QUEUE_HPP_
 #define BRASSFRONT_FORWARDER_DEADLINE_QUEUE_HPP_
 
@@ -30,9 +30,9 @@
   using Time = std::chrono::nanoseconds;
 
   void Set(Time at, Deadline deadline) { sorted_.emplace(at, deadline); }
-  // The time of the earliest deadline; Time::max() if there is none.
+  // Returns the time of the earliest deadline; Time::max() if there is none.
   [[nodiscard]] Time Next() const { return sorted_.empty() ? Time::max() : sorted_.begin()->first; }
-  // Removes and returns the earliest deadline that is due at `now`; none if no deadline is.
+  // Removes and returns the earliest deadline that is due at `now`. Returns nothing if none is due.
   [[nodiscard]] std::optional<Deadline> PopDue(Time now) {
     if (sorted_.empty() || sorted_.begin()->first > now) return std::nullopt;
     return sorted_.extract(sorted_.begin()).mapped();
--- a/src/forwarder/endpoint_protocol.cpp
+++ b/src/forwarder/endpoint_protocol.cpp
@@ -13,11 +13,12 @@
 
 using dispatch_policy::Outcome;
 
-// Values of a load report beyond these are taken for errors. A share may be a little over 1,
+// Values of a load report above these limits are treated as errors. A share may be a little over 1,
 // because reports are noisy.
 constexpr double kMaxAllowanceLeft = 2;
-constexpr double kMaxReportedLimit = 1e6;  // calls a second
-// A longer Retry-After is cut to this, so that an error of the endpoint does not stop it for good.
+constexpr double kMaxReportedLimit = 1e6;  // calls per second
+// A longer Retry-After is shortened to this, so that an endpoint's error does not stop calls to it
+// permanently.
 constexpr std::chrono::milliseconds kMaxRetryAfter = std::chrono::hours(1);
 
 template <typename T>
@@ -28,7 +29,7 @@
   return value;
 }
 
-// What the status says of all attempts in the call.
+// Returns the result that the HTTP status gives for each attempt in the call.
 AttemptResult ParseStatus(const EndpointCallResult& result) {
   switch (result.status) {
     case 200:
@@ -42,7 +43,7 @@
     case 410:
       return {.outcome = Outcome::kNotSent, .message_over = true};
     case 400:
-    case 413:  // not read, so none of it ran
+    case 413:  // the endpoint did not read the request, so no attempt ran
       return {.outcome = Outcome::kNotSent};
     default:
       return {.outcome = Outcome::kError};
@@ -95,7 +96,8 @@
   if (result.outcome != CallOutcome::kAnswered || result.status != 200) {
     return std::vector<AttemptResult>(ids.size(), ParseSingleAnswer(result));
   }
-  // An incomplete answer delivers nothing; an id that a complete one does not name may have run.
+  // An incomplete answer delivers nothing. An attempt whose id is missing in a complete answer may
+  // have run.
   std::vector<AttemptResult> results(
       ids.size(), AttemptResult{.outcome = result.complete ? Outcome::kError : Outcome::kReset});
   if (!result.complete) return results;
@@ -105,7 +107,7 @@
       const auto it = std::find(ids.begin(), ids.end(), item.At("id").Text());
       if (it != ids.end()) results[it - ids.begin()] = ParseItemState(item.At("state").Text());
     }
-  } catch (const json::Error&) {  // the messages that were not read so far may have run
+  } catch (const json::Error&) {  // attempts that were not parsed before the error may have run
   }
   return results;
 }
--- a/src/forwarder/endpoint_protocol.hpp
+++ b/src/forwarder/endpoint_protocol.hpp
@@ -1,6 +1,6 @@
-// The HTTP protocol of endpoints: how attempts are written into a call, and what the answer of a
-// call means for each of them, in the dispatch policy's terms. Functions of their arguments alone,
-// for any thread.
+// The HTTP protocol of endpoints: formats attempts as calls, and translates the answer to a call
+// into the dispatch policy's terms for each attempt. All functions depend only on their arguments
+// and may be called by any thread.
 #ifndef BRASSFRONT_FORWARDER_ENDPOINT_PROTOCOL_HPP_
 #define BRASSFRONT_FORWARDER_ENDPOINT_PROTOCOL_HPP_
 
@@ -18,16 +18,16 @@
 
 // ---- writing calls ----
 
-// One message of a call. The texts are the caller's.
+// One message of a call. The caller owns the texts.
 struct CallItem {
-  std::string_view id;   // the client's
-  std::string_view key;  // the idempotency key; empty: none
+  std::string_view id;   // the client's id
+  std::string_view key;  // the idempotency key; empty if there is none
   std::string_view body;
 };
 
-// The item's JSON in the body of a batch.
+// Returns the item's JSON in the body of a batch.
 [[nodiscard]] std::string FormatBatchItem(const CallItem& item);
-// `time_left`: of the call, which the endpoint is told. At least 0.
+// `time_left` is the time left for the call, which is sent to the endpoint. At least 0.
 [[nodiscard]] std::string FormatSingleCall(const std::string& address, const CallItem& item,
                                            std::chrono::milliseconds time_left);
 [[nodiscard]] std::string FormatBatchCall(const std::string& address,
@@ -38,24 +38,24 @@
 
 struct AttemptResult {
   dispatch_policy::Outcome outcome = dispatch_policy::Outcome::kReset;
-  bool message_over = false;  // delivered, or the endpoint says that nothing more is owed
+  bool message_over = false;  // delivered, or the endpoint answered that the message is over
   bool in_doubt = false;      // delivered, but the platform may not count it (call_answer.hpp)
-  bool exhausted = false;     // the endpoint takes no further attempt of the message
-  SharedAnswerCertainty certainty{};  // of the answer that says so; none if it is certain
+  bool exhausted = false;     // the endpoint accepts no further attempt of the message
+  SharedAnswerCertainty certainty{};  // certainty of the call's answer; null if it is certain
 };
 
-// The result of a call with one message, or of a health check.
+// Returns the result of a call with one message, or of a health check.
 [[nodiscard]] AttemptResult ParseSingleAnswer(const EndpointCallResult& result);
-// One result for each id, in their order. An id that a complete answer does not name may have run;
-// an incomplete answer delivers nothing.
+// Returns one result for each id, in the order of the ids. An attempt whose id is missing in a
+// complete answer may have run; an incomplete answer delivers nothing.
 [[nodiscard]] std::vector<AttemptResult> ParseBatchAnswer(const EndpointCallResult& result,
                                                           std::span<const std::string> ids);
 // Whether the outcome shows that the attempt did not run.
 [[nodiscard]] bool KnownNotRun(dispatch_policy::Outcome outcome);
 
-// How long the endpoint asks to wait, one hour at most; 0: it does not.
+// Returns the Retry-After of the answer, at most one hour; 0 if there is none.
 [[nodiscard]] std::chrono::milliseconds ParseRetryAfter(const EndpointCallResult& result);
-// Values out of range are left out.
+// Omits values that are out of range.
 [[nodiscard]] dispatch_policy::LoadReport ParseLoadReport(const EndpointCallResult& result);
 
 // ---- discovery ----
--- a/src/forwarder/endpoint_registry.cpp
+++ b/src/forwarder/endpoint_registry.cpp
@@ -31,7 +31,7 @@
   return "unknown";
 }
 
-// The policy's lines of the log name the endpoint by this id.
+// The policy's log lines use this numeric id for the endpoint.
 void LogEndpointListed(const Member& member, dispatch_policy::EndpointId id,
                        const MemberList& list) {
   observe::Log(Concern::kEngine, Level::kInfo, "endpoint listed",
--- a/src/forwarder/endpoint_sources.cpp
+++ b/src/forwarder/endpoint_sources.cpp
@@ -19,26 +19,27 @@
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-// Bounds of one wait of the timer: no busy loop on a time that has just passed, and a finite wait.
+// Bounds of one wait of the timer: the minimum avoids a busy loop on a time that has just passed,
+// the maximum keeps the wait finite.
 constexpr double kMinTimerSeconds = 0.001;
 constexpr double kMaxTimerSeconds = 3600;
 
 constexpr std::string_view kSchema = R"(
 #Listing: {
-  zone:     string & !=""                     // of the name server's zones
-  rank:     int & >=0 & <=100 | *1            // the lower, the more it counts
-  owns:     bool | *true                      // it alone tells of the destinations that it lists
-  expiry:   duration & >=0s | *0s             // of a zone from a file; 0s: it holds for good
-  kind:     string | *""                      // of services that do not say theirs
+  zone:     string & !=""                     // one of the name server's zones
+  rank:     int & >=0 & <=100 | *1            // where sources disagree, the lower rank counts
+  owns:     bool | *true                      // the only source of the destinations that it lists
+  expiry:   duration & >=0s | *0s             // of a zone from a file; 0s: it never expires
+  kind:     string | *""                      // default for services without a kind
   locality: string | *""
 }
 
 #Damping: {
   on:        bool | *true
   half_life: duration & >=1s & <=1h | *30s
-  suppress:  number & >=1 & <=100 | *2.5      // removals, as they fade
+  suppress:  number & >=1 & <=100 | *2.5      // number of removals, decaying with half_life
   reuse:     number & >0 & <=100 | *1
-  longest:   duration & >=0s & <=1h | *60s    // the most that coming back is delayed
+  longest:   duration & >=0s & <=1h | *60s    // maximum delay before an endpoint is listed again
 }
 
 #Sources: {
@@ -49,7 +50,7 @@
 }
 )";
 
-// Adds what is wrong with the listing to `faults`.
+// Reads a listing and adds its errors to `faults`.
 SourceSettings::Listing ReadListing(const records::Record& record, const SourceSettings& settings,
                                     const Config& config, std::vector<records::Fault>& faults) {
   SourceSettings::Listing listing;
@@ -193,7 +194,7 @@
 }
 
 void EndpointSources::Stop() {
-  host_.reset();  // its threads call here
+  host_.reset();  // its threads call this object
   {
     const std::lock_guard lock(mutex_);
     stopping_ = true;
@@ -232,13 +233,13 @@
   }
 }
 
-// The policy cannot be told of a kind or zone that the settings do not have.
+// Endpoints with a kind or zone that is missing in the settings cannot be passed to the policy.
 void EndpointSources::RemoveUnknownNames(membership::ZoneMap::Service& service) const {
   std::erase_if(service.members, [&](const Member& member) {
     const bool known = IsOneOf(member.kind, kinds_) && IsOneOf(member.zone, zones_);
     if (!known) {
       service.faults.push_back(member.id + ": kind '" + member.kind + "' or zone '" + member.zone +
-                               "' is not of the configuration");
+                               "' is not in the configuration");
     }
     return !known;
   });
@@ -247,7 +248,8 @@
 void EndpointSources::PublishChanges() {
   if (!on_list_) return;
   if (auto list = merged_.Changes(nameserver::SteadySeconds())) {
-    // Counting suppressed endpoints looks at all of them, so only where the line is written.
+    // Counting the suppressed endpoints examines all endpoints, so it is done only if the line is
+    // written.
     if (observe::Logs(Concern::kZones, Level::kDebug)) {
       observe::Log(Concern::kZones, Level::kDebug, "list merged",
                    {{"revision", list->revision},
--- a/src/forwarder/endpoint_sources.hpp
+++ b/src/forwarder/endpoint_sources.hpp
@@ -1,6 +1,6 @@
-// The sources of endpoints beside the platform: zones that an operator file names. They are served
-// or followed by a name server of the forwarder's own, merged with the platform's lists
-// (membership::Membership), and passed on to the engine as changes.
+// The sources of endpoints in addition to the platform: zones that an operator file names. The
+// forwarder's built-in name server serves them or follows their primaries. Their endpoints are
+// merged with the platform's lists (membership::Membership) and passed on to the engine as changes.
 #ifndef BRASSFRONT_FORWARDER_ENDPOINT_SOURCES_HPP_
 #define BRASSFRONT_FORWARDER_ENDPOINT_SOURCES_HPP_
 
@@ -27,8 +27,8 @@
   struct Listing {
     dns::Name zone;
     int rank = 1;       // where sources disagree, the lower rank counts
-    bool owns = true;   // it is the only source of the destinations that it lists
-    double expiry = 0;  // seconds without a confirmation after which it counts no more; 0: never
+    bool owns = true;   // the zone is the only source of the destinations that it lists
+    double expiry = 0;  // seconds without confirmation until the zone is ignored; 0: never ignored
     membership::ZoneMap::Defaults defaults;
   };
   nameserver::HostSettings nameserver;
@@ -37,34 +37,35 @@
   membership::Damping damping;
 };
 
-// The schema of the operator file: #Sources, with the definitions of the name server.
+// Returns the schema of the operator file: #Sources, with the definitions of the name server.
 [[nodiscard]] std::string SourcesSchema();
-// Throws records::BadRecords with every error in the file. Kinds and zones must be those of the
+// Throws records::BadRecords with every error in the file. Its kinds and zones must be in the
 // configuration.
 [[nodiscard]] SourceSettings LoadSources(const std::string& path, const Config& config);
 
-// Methods may be called by any thread unless they say otherwise.
+// Any thread may call the methods unless their comments restrict that.
 class EndpointSources {
  public:
-  // Called by any thread, one call at a time. Must not call back.
+  // Called by any thread, one call at a time. Must not call EndpointSources.
   using OnEndpointList = std::function<void(MemberList)>;
 
   EndpointSources(SourceSettings settings, const Config& config);
   ~EndpointSources();
 
   // Starts the name server and returns the first list: once all followed zones have been confirmed
-  // or renewed, or after `wait` with what was stored of them. Throws std::runtime_error. To be
-  // called once, before Start.
+  // or renewed, or after `wait` with the stored contents of the other zones. Throws
+  // std::runtime_error. Must be called once, before Start.
   [[nodiscard]] MemberList Begin(std::chrono::milliseconds wait);
-  // Passes on changes to `on_list` from now on, until Stop.
+  // Passes changes on to `on_list` from now on, until Stop.
   void Start(OnEndpointList on_list);
-  // Ends the name server. `on_list` is not called once it has returned. By the thread that started
-  // it.
+  // Stops the name server. `on_list` is not called after this has returned. Must be called by the
+  // thread that called Start.
   void Stop();
 
-  // A list from the platform. It may come before Begin.
+  // Applies a list from the platform. May be called before Begin.
   void ApplyPlatformList(const MemberList& list);
-  // Where zones are served and NOTIFY messages are received; empty before Begin.
+  // Returns the address where zones are served and NOTIFY messages are received. It is empty before
+  // Begin.
   [[nodiscard]] std::string address() const { return host_ ? host_->address() : std::string(); }
 
  private:
@@ -72,7 +73,7 @@
     SourceSettings::Listing settings;
     membership::SourceId id = 0;
     std::unique_ptr<membership::ZoneMap> map;
-    bool confirmed = false;  // or changed, since the start
+    bool confirmed = false;  // whether the zone was confirmed or changed since the start
   };
 
   [[nodiscard]] nameserver::ZoneWatcher MakeWatcher();
@@ -87,11 +88,12 @@
   const SourceSettings settings_;
   const std::vector<std::string> kinds_;
   const std::vector<std::string> zones_;
-  std::mutex mutex_;  // guards what follows down to stopping_; taken after the zones' mutex
+  // Guards the members below up to and including stopping_. Locked after the zones' mutex.
+  std::mutex mutex_;
   std::condition_variable wake_;
   membership::Membership merged_;
   membership::SourceId platform_id_ = 0;
-  std::map<std::string, ZoneSource> zone_sources_;  // by zone
+  std::map<std::string, ZoneSource> zone_sources_;  // by zone name
   OnEndpointList on_list_;
   bool stopping_ = false;
   std::unique_ptr<nameserver::Host> host_;
--- a/src/forwarder/engine.cpp
+++ b/src/forwarder/engine.cpp
@@ -16,15 +16,15 @@
 using observe::Level;
 using std::chrono::milliseconds;
 
-// Events that may wait; client and call threads wait beyond it.
+// Maximum number of waiting events. Client and call threads block while the inbox is full.
 constexpr std::size_t kInboxCapacity = 1024;
-constexpr double kMaxBodyMemoryShare = 0.25;  // of the memory, for bodies in flight
+constexpr double kMaxBodyMemoryShare = 0.25;  // share of the memory for bodies in flight
 constexpr milliseconds kHousekeepingInterval{1000};
 constexpr milliseconds kSpoolRetryInterval{250};
 constexpr milliseconds kHoldCheckInterval{5};  // while lists are held back
-constexpr std::uint64_t kInitialRevision = 0;  // the revision to watch from in a new process
+constexpr std::uint64_t kInitialRevision = 0;  // makes discovery send the complete list
 constexpr milliseconds kMetricsLineInterval{60'000};
-constexpr milliseconds kLastAnswersTimeout{100};  // at the end of the process
+constexpr milliseconds kLastAnswersTimeout{100};  // wait for answers at the end of the process
 
 MessageTable::Limits MessageLimits(const Config& config) {
   const auto memory = static_cast<double>(config.limits.memory_bytes);
@@ -32,7 +32,8 @@
           .max_body_bytes = static_cast<std::size_t>(memory * kMaxBodyMemoryShare)};
 }
 
-// Rejections and failures are applied before accepted messages are persisted, all else after.
+// Rejections and failures are applied before accepted messages are persisted, all other actions
+// after that.
 bool EndsMessage(const dispatch_policy::Action& action) {
   return std::holds_alternative<dispatch_policy::RejectMessage>(action) ||
          std::holds_alternative<dispatch_policy::FailMessage>(action);
@@ -87,8 +88,8 @@
 
 // ======== any thread ========
 
-// Requests that the settings exclude are rejected here, on the client's thread, so that a flood of
-// them does not occupy the engine's.
+// Requests that the settings do not allow are rejected here, on the client's thread, so that many
+// of them do not occupy the engine's thread.
 SubmitResult Engine::Submit(DeliveryRequest request) {
   const auto validation = ValidateRequest(config_, request);
   if (const auto* error = std::get_if<RequestError>(&validation)) {
@@ -141,7 +142,7 @@
   Decide(now);
 }
 
-// Takes over what the spool owes and could be read by now. Returns how many messages.
+// Restores the open messages that could be read from the spool by now. Returns their number.
 std::size_t Engine::RestoreMessages(Time now) {
   std::vector<RecoveredMessage> messages = spool_.Recover();
   const UnixMs spool_now = spool_.Now();
@@ -164,21 +165,23 @@
   (held_events_.empty() ? policy_events_ : held_events_).emplace_back(std::move(event));
 }
 
-// Behind a list that was passed on: what is known of its endpoints.
+// Adds the stored conditions of a list's endpoints after the list itself.
 void Engine::AddConditions(const dispatch_policy::EndpointList& list) {
   for (dispatch_policy::Event& event : condition_recorder_.RestoredConditionEvents(list)) {
     AddListEvent(std::move(event));
   }
 }
 
-// Behind all lists that are held back, as endpoints of any of them may be meant.
+// Must be called after all held lists were passed on, because the events may concern endpoints of
+// any of them.
 void Engine::AddLostConditions() {
   for (dispatch_policy::Event& event : condition_recorder_.TakeLostConditions()) {
     policy_events_.emplace_back(std::move(event));
   }
 }
 
-// The configured list and what came after it, once discovery was asked and it is known who is out.
+// Passes on the configured list and the events that were held back after it, once discovery's list
+// has arrived or the hold has timed out, and the excluded endpoints are known.
 void Engine::ReleaseHeldEvents(Time now) {
   if (held_events_.empty() || known_list_hold_.IsActive(now)) return;
   if (exclusions_ != nullptr && !exclusions_->is_complete()) return;
@@ -194,7 +197,7 @@
 
 void Engine::Run(std::function<void()> on_drain) {
   on_drain_ = std::move(on_drain);
-  // What Restore decided must not wait for the first event.
+  // The calls that Restore decided on must not wait for the first event.
   call_dispatcher_.StartReadyCalls(Now());
   while (true) {
     const Time now = ProcessEvents([this] { return NextWakeUp(); });
@@ -215,7 +218,8 @@
   LogFinalTotals(messages_.totals(), spool_);
 }
 
-// Waits until the wake-up or an event, and takes up all events that have come. Returns the time.
+// Waits for the wake-up time or an event, and handles all events that have arrived. Returns the
+// time.
 Engine::Time Engine::ProcessEvents(const std::function<Time()>& next_wake_up) {
   return loop_.RunOnce(
       next_wake_up,
@@ -225,8 +229,8 @@
       [this](const Deadline& deadline) { On(deadline); });
 }
 
-// At the end of a process: what endpoints have answered by now binds the next one. Nothing is sent
-// any more.
+// Called at the end of the process. Records the conditions that follow from the endpoints' last
+// answers, because they apply to the next process too. Nothing is sent any more.
 void Engine::ProcessLastAnswers() {
   call_dispatcher_.CancelAll();
   const Time end = Now() + kLastAnswersTimeout;
@@ -283,7 +287,7 @@
     case DeadlineKind::kSpoolRetry:
       RetrySpool();
       return;
-    case DeadlineKind::kShutdown:  // Run checks it each round
+    case DeadlineKind::kShutdown:  // Run checks in each round whether the shutdown is over
       return;
   }
 }
@@ -300,7 +304,8 @@
   loop_.SetDeadline(Now() + kHousekeepingInterval, {DeadlineKind::kHousekeeping});
 }
 
-// Tries again what failed on the folder, and takes over what could not be read before.
+// Retries failed operations on the folder, and restores messages and conditions that could not be
+// read before.
 void Engine::RetrySpool() {
   loop_.SetDeadline(Now() + kSpoolRetryInterval, {DeadlineKind::kSpoolRetry});
   spool_.Retry();
@@ -353,7 +358,7 @@
     return submissions_.Reply(submission,
                               SubmitResult::Rejected(dispatch_policy::kRetryAfterWhenFull));
   }
-  // No client may ask for more time than its class has.
+  // A message's time is limited by the deadline of its class.
   const auto& message_class = config_.policy_settings.classes[submission.indexes.message_class];
   request.time_left = std::min<milliseconds>(request.time_left, CeilToMs(message_class.deadline));
   const Time now = Now();
@@ -390,7 +395,7 @@
   }
 }
 
-// What nobody has decided by its deadline.
+// Gives up messages that the policy did not decide about by their deadlines.
 void Engine::GiveUpExpired(Time now) {
   for (const MessageId message : messages_.final_answers().FindExpired(now)) {
     observe::Count("messages_expired_undecided_total");
@@ -399,7 +404,7 @@
   }
 }
 
-// At debug level: what became of a message, by its client's id.
+// Logs a step of a message with its client's id, at debug level.
 void Engine::LogMessageStep(const char* event, MessageId message, std::string_view reason) const {
   if (!observe::Logs(Concern::kEngine, Level::kDebug)) return;
   const InFlightMessage* found = messages_.Find(message);
@@ -428,7 +433,8 @@
   messages_.GiveUp({.message = action.message}, ToString(action.reason), Now());
 }
 
-// Replies to the message's client and forgets the message. False if no client waits for a reply.
+// Replies to the message's client and removes the message. Returns false if no client waits for a
+// reply.
 bool Engine::RejectSubmission(MessageId message, SubmitResult result) {
   if (!submissions_.ReplyTo(message, std::move(result))) return false;
   messages_.Remove(message);
@@ -446,7 +452,7 @@
 // ======== endpoints ========
 
 void Engine::On(const MemberList& list) {
-  // Discovery has answered, if only with what was known.
+  // Discovery has answered, even if the list is refused below.
   if (list.source == ListSource::kDiscovery) known_list_hold_.End();
   if (endpoints_.IsStale(list)) {
     observe::LogSeldom(Concern::kEngine, Level::kWarning, "endpoint list refused",
--- a/src/forwarder/engine.hpp
+++ b/src/forwarder/engine.hpp
@@ -1,10 +1,12 @@
-// The engine wires the forwarder's parts: it feeds the dispatch policy with what clients, endpoints
-// and the platform say, and applies the actions that the policy returns. It decides nothing itself.
+// The engine connects the forwarder's parts: it passes events from clients, endpoints and the
+// platform to the dispatch policy, and applies the actions that the policy returns. It makes no
+// decisions itself.
 //
-// One thread, the caller of Restore and Run, owns all state. Other threads reach it by its inbox.
-// The order of operations is what keeps messages safe: the spool's record of a message precedes its
-// client's OK, which precedes its first attempt; the record of an attempt precedes its first byte;
-// the record of a message's end follows the delivery or the platform's 204 to the notification.
+// One thread, the caller of Restore and Run, owns all state. Other threads push events to its
+// inbox. The order of operations keeps messages from being lost: the spool's record of a message
+// precedes its client's OK, which precedes its first attempt. The record of an attempt precedes its
+// first byte. The record of a message's end follows the delivery, or the platform's 204 to the
+// notification.
 #ifndef BRASSFRONT_FORWARDER_ENGINE_HPP_
 #define BRASSFRONT_FORWARDER_ENGINE_HPP_
 
@@ -39,37 +41,39 @@
 
 class Engine : public MessageAcceptor {
  public:
-  // Connections to endpoints at once, at most: running calls, health checks and idle ones.
+  // Maximum number of simultaneous connections to endpoints, used for running calls and health
+  // checks or idle.
   [[nodiscard]] static std::size_t MaxEndpointConnections(const Config& config);
 
-  // The arguments outlive the engine. Lists from discovery go to `divert` instead, if it is given:
-  // its owner passes on by SetEndpoints what follows from them. Throws std::runtime_error where the
-  // system has no room for a thread.
+  // The arguments must outlive the engine. If `on_discovery_list` is given, lists from discovery go
+  // to it instead of the engine; its owner passes the resulting lists to SetEndpoints. Throws
+  // std::runtime_error if a thread cannot be created.
   Engine(const Config& config, Spool& spool, BufferPool& buffers,
          DiscoveryWatcher::OnEndpointList on_discovery_list = nullptr);
   ~Engine() override;
 
   // ---- the engine's thread ----
 
-  // To be called before Restore, if at all. The observer sees every call from then on, and outlives
-  // the engine.
+  // Optional; must be called before Restore. The observer is notified of every call from then on,
+  // and must outlive the engine.
   void SetCallObserver(CallObserver& observer);
-  // To be called before Restore, if at all. No call begins to an endpoint that is excluded, and
-  // none at all while the exclusions are not complete. They outlive the engine.
+  // Optional; must be called before Restore. No call to an excluded endpoint starts, and no call at
+  // all while the exclusions are not complete. They must outlive the engine.
   void SetExclusions(const EndpointExclusions& exclusions) {
     exclusions_ = &exclusions;
     call_dispatcher_.SetExclusions(exclusions);
   }
-  // To be called before Restore, if at all. What is observed of endpoints is kept there, and taken
-  // over from there. It outlives the engine.
+  // Optional; must be called before Restore. Conditions of endpoints are recorded in the store and
+  // restored from it. It must outlive the engine.
   void SetConditionStore(ConditionStore& store) { condition_recorder_.SetStore(store); }
-  // Takes over the messages that an earlier process had accepted, with the endpoints that are known
-  // now. Clients may connect once it has returned.
+  // Restores the messages that an earlier process had accepted, with the endpoints that are known
+  // now. Clients may connect once this has returned.
   void Restore(const MemberList& known);
   void Restore() { Restore(config_.known); }
-  // Works until a shutdown is over. Calls `on_drain` when one begins.
+  // Runs the loop until a shutdown is over. Calls `on_drain` when a shutdown begins.
   void Run(std::function<void()> on_drain);
-  // To be called after Run: clients that wait in Submit are rejected, and nothing more is accepted.
+  // Must be called after Run. Clients that wait in Submit are rejected, and no more messages are
+  // accepted.
   void Close();
 
   // ---- any thread ----
@@ -79,15 +83,15 @@
   void OnClientDisconnected(std::uint64_t message) override;
   void BeginGracefulShutdown();
   void SetEndpoints(MemberList list) { loop_.Push(std::move(list)); }
-  // The same and the one below for operators, who are not kept waiting by a full inbox.
+  // The urgent variants are for operators: they do not wait when the inbox is full.
   void SetEndpointsUrgently(MemberList list) { loop_.PushUrgent(std::move(list)); }
   void UpdateEndpointUrgently(EndpointUpdate update) { loop_.PushUrgent(std::move(update)); }
   void UpdateEndpoint(EndpointUpdate update) { loop_.Push(std::move(update)); }
-  // Runs the task on the engine's thread, after everything that was pushed before.
+  // Runs the task on the engine's thread, after all events that were pushed before.
   void Post(std::function<void()> task);
-  // As of the last round of the loop.
+  // Number of messages in flight at the end of the last round of the loop.
   [[nodiscard]] std::size_t messages_in_flight() const { return messages_in_flight_; }
-  // Discovery and the platform's notifications are reached at this address from now on.
+  // Sets the address for discovery and for notifications to the platform.
   void SetDiscoveryAddress(std::string discovery);
 
  private:
@@ -138,7 +142,7 @@
   std::size_t RestoreMessages(Time now);
   void RestoreMessage(RecoveredMessage recovered, Time now, UnixMs spool_now);
   void RetrySpool();
-  // Passes an event on to the policy, or holds it back for as long as lists are.
+  // Passes an event on to the policy, or holds it back while lists are held back.
   void AddListEvent(dispatch_policy::Event event);
   void AddConditions(const dispatch_policy::EndpointList& list);
   void AddLostConditions();
@@ -161,7 +165,7 @@
   Time last_decision_{};
   Time next_metrics_line_{};
   KnownListHold known_list_hold_;
-  // Lists and restored messages that the policy is to get when it is over, in order.
+  // Lists and restored messages that are passed to the policy in this order when the hold ends.
   std::vector<dispatch_policy::Event> held_events_;
   const EndpointExclusions* exclusions_ = nullptr;
 
@@ -175,7 +179,7 @@
   std::function<void()> on_drain_;
   std::atomic<std::size_t> messages_in_flight_{0};
 
-  // Last, so that their threads end first: they push to the loop.
+  // The last members, so that their threads, which push to the loop, end first.
   CallDispatcher call_dispatcher_;
   NotificationPoster notification_poster_;
   DiscoveryWatcher discovery_watcher_;
--- a/src/forwarder/event_loop.hpp
+++ b/src/forwarder/event_loop.hpp
@@ -1,5 +1,5 @@
-// The loop of one thread: events that any thread may push, and deadlines that the loop's own thread
-// sets. Between two deadlines it waits for events.
+// The event loop of one thread. Any thread may push events; the loop's own thread sets deadlines.
+// Until the next deadline the loop waits for events.
 #ifndef BRASSFRONT_FORWARDER_EVENT_LOOP_HPP_
 #define BRASSFRONT_FORWARDER_EVENT_LOOP_HPP_
 
@@ -20,20 +20,20 @@
   using Time = DeadlineQueue::Time;
   using Clock = std::function<Time()>;
 
-  // `inbox_capacity`: events that may wait; writers to a full inbox wait as well. `clock` is read
-  // by the loop's thread and must agree with the steady clock wherever the loop is to wait.
+  // `inbox_capacity` limits the waiting events; threads that push to a full inbox block. `clock` is
+  // read by the loop's thread. It must agree with the steady clock if the loop is to wait.
   EventLoop(std::size_t inbox_capacity, Clock clock)
       : inbox_(inbox_capacity), clock_(std::move(clock)) {}
 
   // ---- any thread ----
 
-  // False if the loop is closed: the event is dropped.
+  // Returns false if the loop is closed; the event is dropped then.
   bool Push(Event event) { return inbox_.Push(std::move(event)); }
 
-  // The same without a wait, for a few urgent events.
+  // Like Push, but never blocks: adds the event even if the inbox is full. For a few urgent events.
   bool PushUrgent(Event event) { return inbox_.PushBeyondCapacity(std::move(event)); }
 
-  // Takes no more events and drops those that wait. Writers that wait return.
+  // Accepts no more events and drops the waiting ones. Threads blocked in Push return.
   void Close() {
     inbox_.Close();
     while (inbox_.Pop()) {
@@ -44,9 +44,9 @@
 
   void SetDeadline(Time at, Deadline deadline) { deadlines_.Set(at, deadline); }
 
-  // One round: passes events to `on_event` until the earlier of the next deadline and `wake_up()`,
-  // or until the inbox is empty after at least one event; then passes all due deadlines to
-  // `on_deadline`. Returns the time by which these were due.
+  // Runs one round: passes events to `on_event` until the next deadline or `wake_up()`, whichever
+  // is earlier, or until the inbox is empty after at least one event. Then passes all due deadlines
+  // to `on_deadline`. Returns the time up to which deadlines were due.
   template <typename WakeUp, typename OnEvent, typename OnDeadline>
   Time RunOnce(WakeUp wake_up, OnEvent on_event, OnDeadline on_deadline) {
     DrainUntil(
--- a/src/forwarder/forwarder_control.hpp
+++ b/src/forwarder/forwarder_control.hpp
@@ -1,5 +1,5 @@
-// What the fleet asks of the forwarder, and nothing else. The fleet's thread may call each function
-// at any time; none of them blocks for long.
+// The functions of the forwarder that the fleet uses. The fleet's thread may call each of them at
+// any time; none of them blocks for long.
 #ifndef BRASSFRONT_FORWARDER_FORWARDER_CONTROL_HPP_
 #define BRASSFRONT_FORWARDER_FORWARDER_CONTROL_HPP_
 
@@ -12,18 +12,18 @@
 namespace brassfront {
 
 struct ForwarderControl {
-  // True: clients are sent to other forwarders. False: they are served.
+  // True: clients are sent to other forwarders. False: clients are served.
   std::function<void(bool)> set_standby;
-  // False once the process has been told to end.
+  // Returns false once the process has been asked to shut down.
   std::function<bool()> keeps_running;
-  // Messages that are accepted and neither delivered nor given up.
+  // Number of messages that are accepted and have not ended.
   std::function<std::size_t()> messages_in_flight;
-  // An event about an endpoint, for the dispatch policy.
+  // Passes an event about an endpoint to the dispatch policy.
   std::function<void(EndpointUpdate)> update_endpoint;
-  // Changes of the endpoint list, for the engine.
+  // Passes changes of the endpoint list to the engine.
   std::function<void(MemberList)> set_endpoints;
-  // Calls `done`, on another thread, once all lists before it have been taken up: nothing more is
-  // begun then at an endpoint that they take away.
+  // Calls `done`, on another thread, once all lists that were set before have been applied. From
+  // then on no call starts to an endpoint that they remove.
   std::function<void(std::function<void()> done)> post;
 };
 
--- a/src/forwarder/index_of.hpp
+++ b/src/forwarder/index_of.hpp
@@ -1,4 +1,4 @@
-// Names of the settings stand for their positions in the dispatch policy's settings.
+// Translates names of the configuration into positions in the dispatch policy's settings.
 #ifndef BRASSFRONT_FORWARDER_INDEX_OF_HPP_
 #define BRASSFRONT_FORWARDER_INDEX_OF_HPP_
 
@@ -9,8 +9,8 @@
 
 namespace brassfront {
 
-// The position of the name in the list; the list's size if it is not there. The policy treats an
-// index beyond its settings as unknown.
+// Returns the position of the name in the list; the list's size if the name is missing. The policy
+// treats an index beyond its settings as unknown.
 inline std::size_t IndexOf(const std::vector<std::string>& names, const std::string& name) {
   return static_cast<std::size_t>(std::find(names.begin(), names.end(), name) - names.begin());
 }
--- a/src/forwarder/message_table.cpp
+++ b/src/forwarder/message_table.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-// While the spool can't be read, its numbers are not known. Ids are taken from far above them then;
-// no two processes begin at the same one.
+// While the spool cannot be read, the ids that it has used are unknown. Ids far above them are
+// assigned then. They start at the spool's time, so that no two processes start at the same id.
 MessageTable::MessageId FirstIdWithoutSpool(const Spool& spool) {
   constexpr MessageTable::MessageId kFarAbove = MessageTable::MessageId{1} << 52;
   return kFarAbove + static_cast<MessageTable::MessageId>(spool.Now().count()) * 1024;
--- a/src/forwarder/message_trace.cpp
+++ b/src/forwarder/message_trace.cpp
@@ -5,7 +5,7 @@
 namespace brassfront {
 namespace {
 
-// Of a history with more than kMaxSteps steps, these first ones are kept.
+// Number of first steps that are kept of a history with more than kMaxSteps steps.
 constexpr std::size_t kMaxFirstSteps = 8;
 
 bool IsFinal(TraceStep step) {
@@ -44,7 +44,7 @@
   }
 }
 
-// Of a long history the first steps are kept, and the last ones as a sliding window.
+// Of a long history, keeps the first steps and a sliding window of the last steps.
 void MessageTrace::Add(TracedMessage& traced, Time now, TraceStep step, std::uint32_t detail) {
   std::size_t index = traced.step_count;
   if (index >= kMaxSteps) {
--- a/src/forwarder/notification_outbox.cpp
+++ b/src/forwarder/notification_outbox.cpp
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-// The first delay, doubled for each further post, up to the longest.
+// Returns the first delay, doubled for each further post, up to the longest delay.
 milliseconds DelayAfter(std::uint32_t posts, milliseconds first, milliseconds longest) {
   milliseconds delay = first;
   for (std::uint32_t i = 1; i < posts && delay < longest; ++i) delay *= 2;
@@ -52,8 +52,8 @@
   return BeginPost(batch, now);
 }
 
-// New ones go first, with whatever else is due. What was rejected goes by itself, in turn with
-// them.
+// New notifications go first, together with the repeats that are due. Rejected notifications go in
+// posts of their own, which alternate with the others.
 std::vector<NotificationOutbox::MessageId> NotificationOutbox::CollectBatch(Time now) {
   const std::optional<Group> rejected = FindRejectedGroup(now);
   if (rejected && (rejected_are_next_ || unposted_.empty())) {
@@ -72,7 +72,7 @@
 
 std::vector<NotificationOutbox::MessageId> NotificationOutbox::CollectRepeats(
     Time now, const Group& group) const {
-  // A platform that reads late reads the posts alone that do not make way: these carry more.
+  // A slow platform reads only the protected posts, so these also carry repeats that are not due.
   const bool will_be_protected = CountProtectedPosts() < kMaxProtectedPosts;
   std::vector<MessageId> batch;
   for (const Repeat& repeat : repeats_) {
@@ -95,7 +95,7 @@
   return std::nullopt;
 }
 
-// Takes as much of the batch as fits.
+// Starts a post with as much of the batch as fits.
 NotificationOutbox::Post NotificationOutbox::BeginPost(const std::vector<MessageId>& batch,
                                                        Time now) {
   Post post{.id = next_post_++, .oldest_added_at = now};
@@ -155,7 +155,7 @@
   }
 }
 
-// The halves are posted by themselves until the one that can't be read is alone.
+// Each half is posted separately, until the notification that cannot be read is alone in a post.
 void NotificationOutbox::Reject(const RunningPost& post, PostEnd& end, Time now) {
   const std::size_t half = post.messages.size() / 2;
   for (const MessageId message : post.messages) {
@@ -172,8 +172,8 @@
   }
 }
 
-// A platform that rejects a share of all posts takes it the next time. It is not halved anew, so
-// that what can't be read costs one search.
+// A platform that rejects a share of all posts may accept the notification the next time. Its posts
+// are not halved again, so that an unreadable notification costs only one search.
 void NotificationOutbox::RejectAlone(MessageId message, Pending& pending, Time now) {
   const bool urgent = now < pending.urgent_until;
   SetGroup(pending, urgent ? Group{.rejected_alone = true} : Group{.max_batch = 1});
@@ -241,7 +241,7 @@
   return std::max(spaced, FindOldestReplaceable()->second.started_at + kMinAgeToReplace);
 }
 
-// Posts are numbered in the order of their starts. With kMaxPosts running there is one.
+// Post ids increase in the order of the starts. A replaceable post exists if kMaxPosts are running.
 std::map<NotificationOutbox::PostId, NotificationOutbox::RunningPost>::const_iterator
 NotificationOutbox::FindOldestReplaceable() const {
   return std::find_if(running_.begin(), running_.end(),
--- a/src/forwarder/notification_outbox.hpp
+++ b/src/forwarder/notification_outbox.hpp
@@ -1,13 +1,14 @@
-// The notifications that the platform has not confirmed yet, and the posts that carry them: what is
-// posted when, what is posted again, and what a post's end means for each notification in it. No
-// I/O and no clock: times are the caller's. Used by one thread.
+// Stores the notifications that the platform has not confirmed yet, and decides which posts carry
+// them and when, which notifications are posted again, and what the outcome of a post means for
+// each of its notifications. Does no I/O and reads no clock: the caller passes all times. Used by
+// one thread.
 //
-// The law: a notification is part of a post within kMaxPostDelay of its addition, whatever became
-// of any other post, and is posted again and again until a post that holds it is confirmed. A
-// notification that arrives twice does no harm, so a post that is not answered soon is repeated
-// while its answer is still waited for. Until kUrgentTime behind its addition it is posted again at
-// even intervals, so that ten posts or more may reach the platform in time; from then on a backoff
-// protects a platform that is in trouble.
+// The outbox guarantees that a notification is part of a post within kMaxPostDelay of its addition,
+// whatever the outcome of other posts is, and that it is posted repeatedly until a post that
+// contains it is confirmed. A notification that arrives twice does no harm, so a post that is not
+// answered soon is repeated while its answer is still pending. Until kUrgentTime after its
+// addition, a notification is repeated at even intervals, so that ten posts or more may reach the
+// platform in time. After that an exponential backoff protects a platform that has problems.
 #ifndef BRASSFRONT_FORWARDER_NOTIFICATION_OUTBOX_HPP_
 #define BRASSFRONT_FORWARDER_NOTIFICATION_OUTBOX_HPP_
 
@@ -24,20 +25,20 @@
 namespace brassfront {
 
 struct Notification {
-  std::uint64_t message = 0;   // the caller's number for it
+  std::uint64_t message = 0;   // the caller's number of the message
   std::string id{};            // the client's id of the message
-  bool retry_allowed = false;  // the client may submit it again; else it is undeliverable
-  std::chrono::milliseconds retry_after{};  // if a retry is allowed
+  bool retry_allowed = false;  // true: the client may submit it again; false: it is undeliverable
+  std::chrono::milliseconds retry_after{};  // used if a retry is allowed
 };
 
-// The notification's line in a post, with its end.
+// Returns the notification's line in a post, with the newline.
 [[nodiscard]] std::string NotificationLine(const Notification& notification);
 
-// What the platform made of a post.
+// The platform's answer to a post.
 enum class PostOutcome {
-  kConfirmed,  // all of its notifications
-  kRejected,   // none of it, because it could not read a part of it
-  kFailed      // unknown: no answer, an incomplete one, or an error
+  kConfirmed,  // the platform accepted all notifications of the post
+  kRejected,   // the platform accepted none of them, because it could not read a part of the post
+  kFailed      // unknown: no answer, an incomplete answer, or an error
 };
 
 class NotificationOutbox {
@@ -46,77 +47,80 @@
   using MessageId = std::uint64_t;
   using PostId = std::uint64_t;
 
-  // Posts that are waited for at once, each on a connection of its own.
+  // Maximum number of posts that wait for an answer at once, each on its own connection.
   static constexpr std::size_t kMaxPosts = 8;
-  // Of these, so many are left alone until they end, so that a platform that is always slow
-  // confirms at last: they carry whatever was not confirmed soon. The others make way for
-  // notifications that were never posted.
+  // Maximum number of these posts that are protected: they run until they end, so that a platform
+  // that is always slow confirms them eventually. They carry the notifications that were not
+  // confirmed soon. The other posts may be replaced by posts of new notifications.
   static constexpr std::size_t kMaxProtectedPosts = 2;
-  // Between the starts of two posts while the first is waited for: most answers come sooner.
+  // Minimum time between the starts of two posts while a post is pending. Most answers arrive
+  // sooner.
   static constexpr std::chrono::milliseconds kPostSpacing{25};
-  // The age from which on a post makes way.
+  // Minimum age at which a post may be replaced.
   static constexpr std::chrono::milliseconds kMinAgeToReplace{100};
   static constexpr std::chrono::milliseconds kMaxPostDelay = kMinAgeToReplace + 2 * kPostSpacing;
-  // A notification is urgent for so long: the platform counts it as late soon afterwards.
+  // A notification is urgent for this long; the platform counts it as late soon afterwards.
   static constexpr std::chrono::milliseconds kUrgentTime{300};
-  // An urgent one whose post is not answered is posted again after the first of these, then each
-  // time after the second.
+  // An urgent notification whose post is not answered is repeated after kFirstRepeat, and then each
+  // time after kUrgentRepeat.
   static constexpr std::chrono::milliseconds kFirstRepeat{50};
   static constexpr std::chrono::milliseconds kUrgentRepeat = kPostSpacing;
-  // One that is not urgent waits for twice as long each time, up to this.
+  // A notification that is not urgent is repeated with doubled delays, up to this.
   static constexpr std::chrono::milliseconds kLongestRepeat{250};
-  // An urgent one whose post has failed, or that was rejected alone, is posted again after this at
-  // the latest, with all others of which that holds.
+  // An urgent notification whose post failed, or that was rejected alone, is posted again after
+  // this time at the latest, together with all other such notifications.
   static constexpr std::chrono::milliseconds kFirstRetry{20};
-  // One that is not urgent waits for twice as long each time, up to the first of these where its
-  // post has failed, and for the second where it was rejected alone.
+  // A notification that is not urgent is posted again with doubled delays of up to kLongestRetry if
+  // its post failed, and after kRejectedRetry if it was rejected alone.
   static constexpr std::chrono::milliseconds kLongestRetry{160};
   static constexpr std::chrono::milliseconds kRejectedRetry{1000};
-  static constexpr std::size_t kMaxBatchSize = 500;  // notifications in a post
+  static constexpr std::size_t kMaxBatchSize = 500;  // notifications per post
   static constexpr std::size_t kMaxPostBytes = std::size_t{64} * 1024;
 
   struct Post {
     PostId id = 0;
     std::string body{};
     std::vector<MessageId> messages{};
-    Time oldest_added_at{};                 // of its notifications
-    bool repeats = false;                   // one that was posted before
-    std::optional<PostId> replaced_post{};  // a post that is not waited for any more
+    Time oldest_added_at{};                 // addition of its oldest notification
+    bool repeats = false;                   // whether a notification in it was posted before
+    std::optional<PostId> replaced_post{};  // to be abandoned; its answer no longer matters
   };
 
-  // What a post's end says of its notifications.
+  // The result of a post for its notifications.
   struct PostEnd {
-    std::vector<MessageId> confirmed{};      // each message once over all posts
+    std::vector<MessageId> confirmed{};      // each message is returned by one post only
     std::optional<std::string> rejected{};   // the id of a notification that was rejected alone
-    std::size_t messages = 0;                // in the post
-    std::chrono::nanoseconds elapsed{};      // since the post began
+    std::size_t messages = 0;                // number of messages in the post
+    std::chrono::nanoseconds elapsed{};      // since the post started
     std::chrono::nanoseconds oldest_wait{};  // since the addition of its oldest notification
   };
 
-  // A message's notification is added once.
+  // Adds a message's notification. Has no effect if the message already has one.
   void Add(const Notification& notification, Time now);
-  // The message needs no notification any more. Harmless for an unknown one.
+  // Must be called when the message needs no notification any more. Ignores unknown messages.
   void Remove(MessageId message);
 
-  // The next post to start by now; to be called until there is none.
+  // Returns the next post to start by now. Must be called until it returns nothing.
   [[nodiscard]] std::optional<Post> NextPost(Time now);
-  // A post has ended. None if it has made way before.
+  // Must be called when a post has ended. Returns nothing if the post was replaced before.
   std::optional<PostEnd> Complete(PostId post, PostOutcome outcome, Time now);
-  // The platform is reached at another address: what is not confirmed is posted there at once.
+  // Must be called when the platform's address has changed: all posted notifications that are not
+  // confirmed are posted again at once.
   void RepostAll(Time now);
 
-  // When to call NextPost next; Time::max() if nothing is to be posted.
+  // Returns when to call NextPost next; Time::max() if nothing is to be posted.
   [[nodiscard]] Time NextWakeUp() const;
 
   [[nodiscard]] std::size_t size() const { return pending_.size(); }
-  // When the oldest notification that is not confirmed was added; none if there is none.
+  // Returns when the oldest unconfirmed notification was added; nothing if there is none.
   [[nodiscard]] std::optional<Time> OldestAddedAt() const;
 
  private:
-  // Notifications that may be repeated in one post.
+  // Notifications that may be repeated in the same post.
   struct Group {
     std::size_t max_batch = kMaxBatchSize;  // halved by each rejection
-    // Of those that were rejected alone, and are urgent: the platform may take them the next time.
+    // Whether this is the group of urgent notifications that were rejected alone. The platform may
+    // accept them the next time.
     bool rejected_alone = false;
 
     friend bool operator==(const Group& left, const Group& right) = default;
@@ -125,11 +129,11 @@
     std::string id;
     std::string line;
     Time added_at{};
-    std::uint64_t order = 0;  // of the addition
+    std::uint64_t order = 0;  // position in the order of additions
     Time urgent_until{};
-    Time repeat_at{};              // once it was posted
-    std::uint32_t posts = 0;       // so far
-    std::uint32_t late_posts = 0;  // of these, when it was not urgent any more
+    Time repeat_at{};              // set once it was posted
+    std::uint32_t posts = 0;       // number of its posts so far
+    std::uint32_t late_posts = 0;  // number of its posts when it was no longer urgent
     Group group{};
   };
   struct RunningPost {
@@ -148,18 +152,20 @@
 
   [[nodiscard]] std::vector<MessageId> CollectBatch(Time now);
   [[nodiscard]] std::vector<MessageId> CollectRepeats(Time now, const Group& group) const;
-  // The group of the first repeat that is due and was rejected before; none if there is none.
+  // Returns the group of the first due repeat that was rejected before; nothing if there is none.
   [[nodiscard]] std::optional<Group> FindRejectedGroup(Time now) const;
   [[nodiscard]] Post BeginPost(const std::vector<MessageId>& batch, Time now);
-  // The oldest post that may make way; none if all are patient.
+  // Returns the oldest post that may be replaced; the end iterator if all posts are protected.
   [[nodiscard]] std::map<PostId, RunningPost>::const_iterator FindOldestReplaceable() const;
   [[nodiscard]] std::size_t CountProtectedPosts() const;
   [[nodiscard]] Time EarliestStart() const;
   void RepeatAt(MessageId message, Pending& pending, Time at);
-  // When it is posted again behind a post of which nothing was heard, or that failed.
+  // RepeatTime returns when the notification is posted again if its post is not answered, and
+  // RetryTime if its post failed.
   [[nodiscard]] static Time RepeatTime(const Pending& pending, Time now);
   [[nodiscard]] Time RetryTime(const Pending& pending, Time now);
-  // The next time for all urgent retries, so that their posts do not grow in number with them.
+  // Returns the next common time for all urgent retries, so that the number of posts does not grow
+  // with the number of retries.
   [[nodiscard]] Time SharedRetryTime(Time now);
   void RejectAlone(MessageId message, Pending& pending, Time now);
   void Confirm(const RunningPost& post, PostEnd& end);
@@ -168,15 +174,15 @@
   void Retry(const RunningPost& post, Time now);
 
   std::map<MessageId, Pending> pending_;
-  std::map<std::uint64_t, MessageId> unposted_;  // of these, never posted; by their order
+  std::map<std::uint64_t, MessageId> unposted_;  // pending and never posted, by their order
   std::uint64_t next_order_ = 0;
-  std::set<Repeat> repeats_;  // the others
-  std::size_t rejected_ = 0;  // of these, those that are not in the group of all others
+  std::set<Repeat> repeats_;  // pending and posted before
+  std::size_t rejected_ = 0;  // number of repeats that are not in the default group
   Time shared_retry_at_{};
   std::map<PostId, RunningPost> running_;
   PostId next_post_ = 1;
   Time last_start_{};
-  bool rejected_are_next_ = false;  // so that new ones do not keep them out
+  bool rejected_are_next_ = false;  // so that new notifications do not starve rejected ones
 };
 
 }  // namespace brassfront
--- a/src/forwarder/notification_poster.cpp
+++ b/src/forwarder/notification_poster.cpp
@@ -18,7 +18,7 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-constexpr int kHttpNoContent = 204;  // confirms all of a post
+constexpr int kHttpNoContent = 204;  // confirms all notifications of a post
 constexpr int kHttpBadRequest = 400;
 constexpr int kHttpContentTooLarge = 413;
 
@@ -34,7 +34,7 @@
   return "unknown";
 }
 
-// One line for each post: what it held, what became of it, and how long its oldest has waited.
+// Logs one line per post: its size, its outcome, and how long its oldest notification has waited.
 void LogPost(const NotificationPostResult& result, const NotificationOutbox::PostEnd& end) {
   observe::Log(Concern::kPlatform, Level::kInfo, "notifications posted",
                {{"post", result.post},
@@ -56,7 +56,8 @@
   return rejected ? PostOutcome::kRejected : PostOutcome::kFailed;
 }
 
-// After a decision, so that the calls of the messages that were given up have been cancelled.
+// Must be called after a decision, so that the calls of the messages that were given up have been
+// cancelled.
 void NotificationPoster::StartDue(Time now) {
   while (auto post = outbox_.NextPost(now)) {
     if (post->replaced_post) client_.Abandon(*post->replaced_post);
--- a/src/forwarder/notification_poster.hpp
+++ b/src/forwarder/notification_poster.hpp
@@ -1,5 +1,6 @@
-// Carries the outbox's posts to the platform: starts what is due, and tells the outbox how each
-// post ended. What is posted when is up to the outbox; sockets and threads to NotificationClient.
+// Sends the outbox's posts to the platform: starts the due posts, and reports the outcome of each
+// post to the outbox. The outbox decides what is posted and when; NotificationClient manages
+// sockets and threads.
 #ifndef BRASSFRONT_FORWARDER_NOTIFICATION_POSTER_HPP_
 #define BRASSFRONT_FORWARDER_NOTIFICATION_POSTER_HPP_
 
@@ -11,17 +12,18 @@
 
 namespace brassfront {
 
-// What the platform made of a post, by the status of its answer; 0: no whole answer came.
+// Returns the outcome of a post for the HTTP status of the platform's answer. Status 0 means that
+// no complete answer was received.
 [[nodiscard]] PostOutcome ToPostOutcome(int status);
 
-// Used by the engine's thread alone; `on_result` is called by the threads that carry posts.
+// Used only by the engine's thread; `on_result` is called by the threads that send posts.
 class NotificationPoster {
  public:
   using Time = NotificationOutbox::Time;
   using MessageId = NotificationOutbox::MessageId;
 
-  // The outbox and the buffers outlive the poster. Results come back by Complete. Throws
-  // std::runtime_error where the system has no room for a thread.
+  // The outbox and the buffers must outlive the poster. Results must be passed to Complete. Throws
+  // std::runtime_error if a thread cannot be created.
   NotificationPoster(const std::string& address, NotificationOutbox& outbox, BufferPool& buffers,
                      NotificationClient::OnResult on_result)
       : outbox_(outbox),
@@ -29,11 +31,12 @@
 
   // Starts all posts that are due by now.
   void StartDue(Time now);
-  // A post has ended. Returns the messages whose notification it has confirmed, each once.
+  // Must be called when a post has ended. Returns the messages whose notifications it has
+  // confirmed, each once.
   [[nodiscard]] std::vector<MessageId> Complete(const NotificationPostResult& result, Time now);
-  // The platform is reached at another address: what is not confirmed is posted there.
+  // Sets the platform's address and posts all unconfirmed notifications there.
   void SetAddress(const std::string& address, Time now);
-  // Sets the gauges of what is not confirmed.
+  // Sets the gauges for unconfirmed notifications.
   void PublishMetrics(Time now) const;
 
  private:
--- a/src/forwarder/request_validator.cpp
+++ b/src/forwarder/request_validator.cpp
@@ -24,7 +24,7 @@
   if (!request.tenant_name.empty()) {
     indexes.tenant = IndexOf(config.tenant_names, request.tenant_name);
   }
-  // A request without a tenant is the first one's, also where the settings have none.
+  // A request without a tenant belongs to the first tenant, even if the settings have no tenants.
   if (indexes.tenant > 0 && indexes.tenant == config.tenant_names.size()) {
     return RequestError::kUnknownTenant;
   }
--- a/src/forwarder/request_validator.hpp
+++ b/src/forwarder/request_validator.hpp
@@ -1,4 +1,4 @@
-// Which delivery requests the settings admit. Has no state, so any thread may ask.
+// Checks whether the settings allow a delivery request. It has no state, so any thread may use it.
 #ifndef BRASSFRONT_FORWARDER_REQUEST_VALIDATOR_HPP_
 #define BRASSFRONT_FORWARDER_REQUEST_VALIDATOR_HPP_
 
@@ -13,10 +13,10 @@
 enum class RequestError {
   kUnknownClass,
   kUnknownTenant,
-  kMissingKey  // the class is delivered again only with an idempotency key, and there is none
+  kMissingKey  // the class is retried only with an idempotency key, and the request has none
 };
 
-// What the client is told.
+// Returns the error text of the reply to the client.
 const char* ToString(RequestError error);
 
 // The positions of a valid request's names in the settings.
--- a/src/forwarder/restored_message.cpp
+++ b/src/forwarder/restored_message.cpp
@@ -15,7 +15,8 @@
   event.destination = recovered.message.destination;
   event.message_class = IndexOf(config.class_names, recovered.message.class_name);
   event.time_left = recovered.message.deadline - spool_now;
-  // Where the machine was started anew, the wall clock may have put the deadline anywhere.
+  // If the machine was rebooted, a change of the wall clock may have shifted the deadline by any
+  // amount.
   if (event.message_class < config.policy_settings.classes.size()) {
     const auto longest = config.policy_settings.classes[event.message_class].deadline;
     event.time_left = std::min(event.time_left, longest);
--- a/src/forwarder/restored_message.hpp
+++ b/src/forwarder/restored_message.hpp
@@ -1,4 +1,4 @@
-// What the dispatch policy is told of a message that an earlier process had accepted.
+// Makes the dispatch policy's event for a message that an earlier process had accepted.
 #ifndef BRASSFRONT_FORWARDER_RESTORED_MESSAGE_HPP_
 #define BRASSFRONT_FORWARDER_RESTORED_MESSAGE_HPP_
 
@@ -9,8 +9,8 @@
 
 namespace brassfront {
 
-// `now` and `spool_now` are the same moment by the two clocks. Endpoints that the message was tried
-// on get a number in the registry.
+// `now` and `spool_now` are the same moment on the two clocks. Endpoints to which the message may
+// have been sent are assigned ids in the registry.
 [[nodiscard]] dispatch_policy::MessageRestored MakeRestoredEvent(const RecoveredMessage& recovered,
                                                                  const Config& config,
                                                                  EndpointRegistry& endpoints,
--- a/src/forwarder/shutdown.hpp
+++ b/src/forwarder/shutdown.hpp
@@ -1,4 +1,5 @@
-// When a forwarder that was asked to shut down may exit. Knows no clock; used by one thread.
+// Decides when a forwarder that was asked to shut down may exit. Reads no clock; used by one
+// thread.
 #ifndef BRASSFRONT_FORWARDER_SHUTDOWN_HPP_
 #define BRASSFRONT_FORWARDER_SHUTDOWN_HPP_
 
@@ -14,19 +15,19 @@
 
   // Clients may open new connections for 0.4 s after SIGTERM; they are served until then.
   static constexpr Time kMinDuration = std::chrono::milliseconds(700);
-  // SIGKILL follows 3.7 s after SIGTERM; the rest is for closing what is open.
+  // SIGKILL follows 3.7 s after SIGTERM; the remaining time is for closing files and connections.
   static constexpr Time kMaxDuration = std::chrono::milliseconds(3200);
 
   struct ExitTimes {
-    Time earliest{};  // from here on as soon as no message is in flight
-    Time latest{};    // from here on in any case
+    Time earliest{};  // from then on the forwarder exits as soon as no message is in flight
+    Time latest{};    // from then on the forwarder exits in any case
   };
 
-  // Starts the shutdown and returns when to call IsOver again at the latest. None if it was started
-  // before.
+  // Starts the shutdown and returns the times at which IsOver must be called at the latest. Returns
+  // nothing if the shutdown was started before.
   [[nodiscard]] std::optional<ExitTimes> Begin(Time now);
 
-  // Whether the forwarder exits now. False before Begin.
+  // Whether the forwarder must exit now. Returns false before Begin.
   [[nodiscard]] bool IsOver(Time now, std::size_t messages_in_flight) const;
 
  private:
--- a/src/forwarder/stage_latencies.hpp
+++ b/src/forwarder/stage_latencies.hpp
@@ -9,16 +9,17 @@
 
 namespace brassfront {
 
-// Used by the engine's thread alone.
+// Used only by the engine's thread.
 struct StageLatencies {
-  observe::Histogram submit;  // from the client's thread to the engine's
+  observe::Histogram submit;  // from the client's thread to the engine's thread
   observe::Histogram accept;  // from the client's thread to its reply
   observe::Histogram start;   // from a decision to send to the call's thread
-  observe::Histogram notify;  // from giving up to the platform's 204
+  observe::Histogram notify;  // from giving a message up to the platform's 204
   observe::Histogram decide;  // one decision, with the actions applied
 
-  // Writes a line on the engine's load and one for each stage with values, then empties all. Must
-  // be called by the engine's thread, because the line has the calling thread's CPU time.
+  // Logs one line on the engine's load and one for each stage with values, then resets all stages.
+  // Must be called by the engine's thread, because the load line contains the calling thread's CPU
+  // time.
   void LogAndReset(observe::Level level, std::size_t messages_in_flight, std::size_t calls);
 };
 
--- a/src/forwarder/submission_queue.hpp
+++ b/src/forwarder/submission_queue.hpp
@@ -1,4 +1,4 @@
-// Submissions whose clients wait for a reply: those that the policy has not decided on yet.
+// Submissions whose clients wait for a reply, because the policy has not decided on them yet.
 #ifndef BRASSFRONT_FORWARDER_SUBMISSION_QUEUE_HPP_
 #define BRASSFRONT_FORWARDER_SUBMISSION_QUEUE_HPP_
 
@@ -15,30 +15,31 @@
 
 namespace brassfront {
 
-// A client's thread waits for the reply. If the submission is destroyed without one, its future
+// A client's thread waits for the reply. If the submission is destroyed without a reply, its future
 // throws std::future_error.
 struct PendingSubmission {
   DeliveryRequest request;
   RequestIndexes indexes;
-  dispatch_policy::Time received_at{};   // its time counts from here
+  dispatch_policy::Time received_at{};   // the message's time counts from here
   dispatch_policy::Time submitted_at{};  // for the latencies
   std::promise<SubmitResult> reply;
 };
 
-// Used by the engine's thread alone.
+// Used only by the engine's thread.
 class SubmissionQueue {
  public:
   using MessageId = dispatch_policy::MessageId;
 
-  // `latencies` outlives the queue; the stage `accept` is added to.
+  // `latencies` must outlive the queue, which records the latencies of its stage `accept`.
   explicit SubmissionQueue(StageLatencies& latencies) : latencies_(latencies) {}
 
   void Add(MessageId message, PendingSubmission submission);
   void Reply(PendingSubmission& submission, SubmitResult result);
-  // Replies to the message's client and removes the submission. False if no client waits.
+  // Replies to the message's client and removes the submission. Returns false if no client waits.
   bool ReplyTo(MessageId message, SubmitResult result);
-  // Records all that wait in the spool and only then accepts them; removes them. Returns the
-  // messages for which the spool had no room: these were rejected and removed from the table.
+  // Records each waiting message in the spool, only then replies that it is accepted, and removes
+  // all submissions. Returns the messages for which the spool had no room: these were rejected and
+  // removed from the table.
   [[nodiscard]] std::vector<MessageId> AcceptAll(MessageTable& messages);
   void Clear() { submissions_.clear(); }
 
--- a/src/forwarder/unsettled_deliveries.hpp
+++ b/src/forwarder/unsettled_deliveries.hpp
@@ -1,5 +1,5 @@
-// Messages that an answer calls delivered while it may still turn out to be the answer to an
-// earlier call. No I/O and no clock: times are the caller's. Used by one thread.
+// Messages whose delivery was reported by an answer that may still turn out to be the answer to an
+// earlier call. Does no I/O and reads no clock: the caller passes all times. Used by one thread.
 #ifndef BRASSFRONT_FORWARDER_UNSETTLED_DELIVERIES_HPP_
 #define BRASSFRONT_FORWARDER_UNSETTLED_DELIVERIES_HPP_
 
@@ -22,11 +22,11 @@
     bool is_certain = false;
   };
 
-  // `deadline`: of the message. An answer that is not settled by then is in doubt.
+  // `deadline` is the message's deadline. An answer that is not settled by then is in doubt.
   void Add(MessageId message, SharedAnswerCertainty certainty, Time deadline) {
     deliveries_.push_back({message, std::move(certainty), deadline});
   }
-  // Removes and returns what is settled by now.
+  // Removes and returns the deliveries that are settled by now.
   [[nodiscard]] std::vector<Settled> TakeSettled(Time now) {
     std::vector<Settled> settled;
     std::erase_if(deliveries_, [&](const Delivery& delivery) {
--- a/src/operators/operator_commands.cpp
+++ b/src/operators/operator_commands.cpp
@@ -34,7 +34,8 @@
 }
 
 void OperatorCommands::Load() {
-  // Another owner may still change the file; it is written only once it was read here.
+  // A previous owner may still change the file. This process writes it only after reading it as the
+  // owner.
   const auto stored = owner_.Owns() ? file_.Read() : std::nullopt;
   if (stored) {
     excluded_.insert(stored->begin(), stored->end());
@@ -109,7 +110,7 @@
   return Store(endpoint);
 }
 
-// What holds in memory is on the disk before the operator is told yes.
+// The change must be on the disk before the operator gets a success reply.
 OperatorReply OperatorCommands::Store(const std::string& endpoint) {
   Retry();
   if (!write_is_due_) return {kOk, endpoint + "\n"};
--- a/src/operators/operator_commands.hpp
+++ b/src/operators/operator_commands.hpp
@@ -1,5 +1,5 @@
-// What operators ask of a running forwarder at its second address: whether it serves, its counters,
-// standby, and endpoints in maintenance.
+// The commands that operators send to a running forwarder at its second address: its status and
+// metrics, standby, and the maintenance of endpoints.
 #ifndef BRASSFRONT_OPERATORS_OPERATOR_COMMANDS_HPP_
 #define BRASSFRONT_OPERATORS_OPERATOR_COMMANDS_HPP_
 
@@ -17,31 +17,31 @@
 
 struct OperatorReply {
   int status = 0;
-  std::string body;  // a line for people
+  std::string body;  // human-readable text
 };
 
-// For one thread. Blocks for a write to the state folder at most.
+// Used by one thread. Blocks only for writes to the state folder.
 class OperatorCommands {
  public:
-  // What the commands need of the forwarder. None of it may wait for the engine.
+  // The functions of the forwarder that the commands use. They must not wait for the engine.
   struct Forwarder {
     std::function<bool()> serves;
     std::function<void(bool)> set_standby;
-    // Changes of the endpoint list, for the engine.
+    // Passes changes of the endpoint list to the engine.
     EndpointExclusions::Deliver set_endpoints;
-    // The endpoint is back from maintenance, and cold.
+    // Called when the endpoint is back from maintenance and needs to warm up.
     std::function<void(const std::string& endpoint)> readmit;
   };
 
-  // Reads who was taken out by earlier processes; while that can't be read, no call may begin. The
-  // exclusions and the owner of the state folder outlive this.
+  // Reads the exclusions that earlier processes have stored; while they cannot be read, no call may
+  // start. `owner`, which owns the state folder, and `exclusions` must outlive this object.
   OperatorCommands(FolderOwner& owner, EndpointExclusions& exclusions);
 
-  // To be called before Execute.
+  // Must be called before Execute.
   void Attach(Forwarder forwarder) { forwarder_ = std::move(forwarder); }
 
   [[nodiscard]] OperatorReply Execute(const HttpRequest& request);
-  // Tries again what failed on the state folder. To be called every second or so.
+  // Retries failed reads and writes of the state folder. Must be called about once per second.
   void Retry();
 
  private:
--- a/src/operators/operator_server.cpp
+++ b/src/operators/operator_server.cpp
@@ -18,10 +18,10 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kRequestTimeout{3000};
-// After the reply the caller has this long to close, so that its bytes do not reset the connection
-// under the reply.
+// After the reply the client has this long to close the connection, so that its unread bytes do not
+// cause a reset before it has read the reply.
 constexpr milliseconds kLingerTimeout{500};
-// Between two looks at what is due: expired connections, the listener, writes that failed.
+// Interval for closing expired connections and for retrying the listener and failed writes.
 constexpr milliseconds kTickInterval{200};
 constexpr int kRequestTimedOut = 408;
 
@@ -60,7 +60,7 @@
                      {{"listen", address_}, {"error", std::strerror(errno)}});
 }
 
-// Waits for one tick at most, and serves what has come.
+// Waits for input, at most one tick, and serves the connections that have input.
 void OperatorServer::WaitForInput() {
   std::vector<pollfd> poll_entries{{wakeup_.fd(), POLLIN, 0}, {listener_.fd(), POLLIN, 0}};
   for (const Connection& connection : connections_) {
@@ -74,7 +74,7 @@
   }
   auto entry = poll_entries.begin() + 2;
   for (auto it = connections_.begin(); it != connections_.end(); ++entry) {
-    Connection& connection = *it++;  // serving it may remove it
+    Connection& connection = *it++;  // Serve may remove the connection
     if (entry->revents != 0) Serve(connection);
   }
   if (poll_entries[1].revents != 0) AcceptCallers();
@@ -120,7 +120,8 @@
   const SteadyTime now = std::chrono::steady_clock::now();
   connection.answered = true;
   connection.deadline = now + kLingerTimeout;
-  // A reply fits into the socket's buffer; a caller that has left it no room is not waited for.
+  // A reply fits into the socket's send buffer. The server does not wait for a client whose buffer
+  // has no room.
   connection.socket.SendAll(FormatHttpReply(reply.status, reply.body), now + kTransientPause);
   shutdown(connection.socket.fd(), SHUT_WR);
 }
@@ -130,7 +131,7 @@
     Connection& connection = *it++;
     if (connection.deadline > now) continue;
     if (!connection.answered) {
-      Answer(connection, {kRequestTimedOut, "no request in time\n"});
+      Answer(connection, {kRequestTimedOut, "request timed out\n"});
       continue;
     }
     connections_.remove_if([&](const Connection& other) { return &other == &connection; });
--- a/src/operators/operator_server.hpp
+++ b/src/operators/operator_server.hpp
@@ -1,5 +1,5 @@
-// HTTP/1.1 at the forwarder's second address: one call to a connection, answered by
-// OperatorCommands. One thread serves all callers, so that a slow one holds nobody up.
+// HTTP/1.1 server at the forwarder's second address. Each connection carries one request, which
+// OperatorCommands answers. One thread serves all clients without blocking on a slow one.
 #ifndef BRASSFRONT_OPERATORS_OPERATOR_SERVER_HPP_
 #define BRASSFRONT_OPERATORS_OPERATOR_SERVER_HPP_
 
@@ -20,12 +20,12 @@
 
 class OperatorServer {
  public:
-  // Descriptors that it uses at most: connections, the listener, the wake-up.
+  // Maximum number of descriptors: connections, the listener, the wake-up event.
   static constexpr std::size_t kMaxConnections = 16;
   static constexpr std::size_t kMaxDescriptors = kMaxConnections + 2;
 
-  // Serves from now on. Where the address can't be listened on, that is tried again until it can:
-  // the forwarder goes on without operators meanwhile. The arguments outlive the server.
+  // Starts serving. If the server cannot listen on the address, it retries until it can; the
+  // forwarder works without operator commands meanwhile. The arguments must outlive the server.
   OperatorServer(std::string address, OperatorCommands& commands, BufferPool& buffers);
   ~OperatorServer();
 
@@ -34,7 +34,7 @@
     Socket socket;
     SteadyTime deadline{};
     HttpRequestReader reader{};
-    bool answered = false;  // what still comes is discarded until the caller closes
+    bool answered = false;  // further input is discarded until the client closes the connection
   };
 
   void Run();
@@ -52,7 +52,7 @@
   std::atomic<bool> stopping_{false};
   Socket listener_;
   std::list<Connection> connections_;  // the oldest first
-  Thread thread_;                      // the last member: it uses the others
+  Thread thread_;                      // the last member, because it uses the others
 };
 
 }  // namespace brassfront
