--- a/tests/forwarder/agent_troubles.hpp
+++ b/tests/forwarder/agent_troubles.hpp
@@ -1,4 +1,4 @@
-// The troubles of a virtual agent, and what they mean for its posts.
+// The faults of a virtual agent, and their effect on posts.
 #ifndef BRASSFRONT_TESTS_FORWARDER_AGENT_TROUBLES_HPP_
 #define BRASSFRONT_TESTS_FORWARDER_AGENT_TROUBLES_HPP_
 
@@ -16,10 +16,10 @@
 
 class AgentTroubles {
  public:
-  // The trouble outlives this.
+  // The trouble must outlive this object.
   void Add(const AgentTrouble& trouble) { troubles_.push_back(&trouble); }
-  // The latest of those that last at this time, since the start of the order; null if there is
-  // none.
+  // Returns the last added trouble that is active at this time after the start of the order; null
+  // if there is none.
   [[nodiscard]] const AgentTrouble* At(dispatch_policy::Time since_start) const {
     const AgentTrouble* present = nullptr;
     for (const AgentTrouble* trouble : troubles_) {
@@ -27,11 +27,12 @@
     }
     return present;
   }
-  // For one post: a trouble of mixed kinds draws one for each.
+  // Returns the kind of the trouble for one post. A mixed trouble draws a random kind for each
+  // post.
   [[nodiscard]] AgentTrouble::Kind DrawKind(const AgentTrouble& trouble) {
     using Kind = AgentTrouble::Kind;
     if (trouble.kind != Kind::kMixed) return trouble.kind;
-    constexpr std::size_t kKinds = 7;  // those before kRejects
+    constexpr std::size_t kKinds = 7;  // the kinds before kRejects
     return static_cast<Kind>(std::mt19937_64(trouble.seed + mixed_posts_++)() % kKinds);
   }
 
@@ -40,7 +41,7 @@
   std::uint64_t mixed_posts_ = 0;
 };
 
-// Whether a post names one of these messages.
+// Whether a post contains one of these messages.
 [[nodiscard]] inline bool ContainsAny(const std::string& body,
                                       const std::vector<std::string>& ids) {
   return std::any_of(ids.begin(), ids.end(), [&](const std::string& id) {
--- a/tests/forwarder/call_tracker_test.cpp
+++ b/tests/forwarder/call_tracker_test.cpp
@@ -1,4 +1,4 @@
-// Which attempts share a call, when calls start, and how they are cancelled. Nothing is sent.
+// Tests which attempts share a call, when calls start, and how they are cancelled. Nothing is sent.
 #include "forwarder/call_tracker.hpp"
 
 #include <doctest/doctest.h>
@@ -88,11 +88,11 @@
   CHECK(starter.sizes == std::vector<std::size_t>{2, 1});
 }
 
-TEST_CASE_FIXTURE(TrackerFixture, "a message with next to no time left shares no call") {
+TEST_CASE_FIXTURE(TrackerFixture, "a message with very little time left shares no call") {
   const auto least = CallTracker::kBatchTimeoutMargin + CallTracker::kMinBatchTime;
   DecidedAttempt brief = Attempt(1, 4);
   brief.deadline = kStart + least - milliseconds(1);
-  tracker.AddAttempt(brief);          // alone, though it came first
+  tracker.AddAttempt(brief);          // stays alone, although it was added first
   tracker.AddAttempt(Attempt(2, 4));  // begins the next call
   brief.attempt.message = 3;
   tracker.AddAttempt(brief);  // does not join it
@@ -119,7 +119,7 @@
   CHECK(call->deadline == kStart + milliseconds(120));
 }
 
-TEST_CASE_FIXTURE(TrackerFixture, "a call waits until all its clients know of their acceptance") {
+TEST_CASE_FIXTURE(TrackerFixture, "a call waits until all its messages are acknowledged") {
   starter.unacknowledged = {2};
   tracker.AddAttempt(Attempt(1, 4));
   tracker.AddAttempt(Attempt(2, 4));
@@ -135,7 +135,7 @@
   tracker.AddHealthCheck(2, kStart, kStart + seconds(1));
   Start();
   CHECK(starter.started == std::vector<CallId>{1, 2, 4});
-  CHECK(tracker.Complete(4).has_value());  // frees no place
+  CHECK(tracker.Complete(4).has_value());  // a health check, which does not count
   Start();
   CHECK(starter.started.size() == 3);
   CHECK(tracker.Complete(1).has_value());
@@ -144,7 +144,7 @@
 }
 
 TEST_CASE_FIXTURE(TrackerFixture,
-                  "a message that has ended leaves its batch, an empty call is gone") {
+                  "a message that has ended is removed from its batch, an empty call is dropped") {
   tracker.AddAttempt(Attempt(1, 4));
   tracker.AddAttempt(Attempt(2, 4));
   tracker.CloseBatches();
@@ -164,7 +164,7 @@
   CHECK(tracker.size() == 0);
 }
 
-TEST_CASE_FIXTURE(TrackerFixture, "a call that cannot be recorded is not sent and takes no place") {
+TEST_CASE_FIXTURE(TrackerFixture, "a call that cannot be recorded is not sent and not counted") {
   starter.spool_is_full = true;
   for (MessageId message = 1; message <= 3; ++message) tracker.AddAttempt(Attempt(message));
   Start();
@@ -177,7 +177,7 @@
   CHECK(starter.started.size() == 2);
 }
 
-TEST_CASE_FIXTURE(TrackerFixture, "a batch is cancelled with the last of its attempts") {
+TEST_CASE_FIXTURE(TrackerFixture, "a batch is cancelled once all its attempts are cancelled") {
   tracker.AddAttempt(Attempt(1, 4));
   tracker.AddAttempt(Attempt(2, 4));
   Start();
@@ -187,7 +187,7 @@
   CHECK(starter.calls[0]->stop_reason() == EndpointCall::StopReason::kCancelled);
 }
 
-TEST_CASE_FIXTURE(TrackerFixture, "a batch is cancelled with the first message that is over") {
+TEST_CASE_FIXTURE(TrackerFixture, "a batch is cancelled as soon as one of its messages is over") {
   tracker.AddAttempt(Attempt(1, 4));
   tracker.AddAttempt(Attempt(2, 4));
   Start();
@@ -203,7 +203,7 @@
   CHECK(starter.not_sent == std::vector<MessageId>{1});
 }
 
-TEST_CASE_FIXTURE(TrackerFixture, "only the attempt that is named is cancelled") {
+TEST_CASE_FIXTURE(TrackerFixture, "only the specified attempt is cancelled") {
   tracker.AddAttempt(Attempt(1));
   tracker.CancelAttempt(1, 1, true);
   tracker.CancelAttempt(2, 0, true);
@@ -226,7 +226,7 @@
   CHECK(starter.not_sent == std::vector<MessageId>{3});
 }
 
-TEST_CASE_FIXTURE(TrackerFixture, "the timeout of a batch does not blame its endpoint") {
+TEST_CASE_FIXTURE(TrackerFixture, "the timeout of a batch is not a fault of its endpoint") {
   tracker.AddAttempt(Attempt(1, 4));
   tracker.AddAttempt(Attempt(2, 4));
   tracker.CloseBatches();
--- a/tests/forwarder/endpoint_registry_test.cpp
+++ b/tests/forwarder/endpoint_registry_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr dispatch_policy::Time kStart = seconds(100);
 
-// Two kinds: a batch of 4 under the destination's limit, and single calls with limits of their own.
+// Two kinds: batches of 4 under the destination's limit, and single calls with per-endpoint limits.
 Config Settings() {
   Config config;
   config.kind_names = {"shared", "own"};
@@ -41,7 +41,7 @@
   EndpointRegistry registry{config};
 };
 
-TEST_CASE_FIXTURE(RegistryFixture, "a list is told to the policy by numbers") {
+TEST_CASE_FIXTURE(RegistryFixture, "a list is translated into the policy's numbers") {
   const auto list = registry.Apply({7, true, {MakeMember("a", 1), MakeMember("b", 2, "own")}}, {});
   CHECK(list.version == 7);
   CHECK(list.form == dispatch_policy::ListForm::kComplete);
@@ -87,7 +87,7 @@
   (void)registry.Apply({2, true, {}}, kStart);
   CHECK(registry.ForgetRemoved(kStart + seconds(20), {}).empty());
   CHECK(registry.KnowsDestination(1));  // a list that names it again may be late
-  CHECK(registry.ForgetRemoved(kStart + seconds(21), {a}).empty());  // a call to it is out
+  CHECK(registry.ForgetRemoved(kStart + seconds(21), {a}).empty());  // a call to it is in flight
   CHECK(registry.ForgetRemoved(kStart + seconds(21), {}) == std::vector{a});
   CHECK_FALSE(registry.KnowsDestination(1));
   CHECK(registry.FindOrAddId("a") != a);  // ids are not used again
@@ -102,7 +102,8 @@
   CHECK(registry.ForgetRemoved(kStart + seconds(70), {}).empty());
 }
 
-TEST_CASE_FIXTURE(RegistryFixture, "a rate limit binds the destination, or a route with its own") {
+TEST_CASE_FIXTURE(RegistryFixture,
+                  "a rate limit applies to the destination, or to an endpoint with its own limit") {
   (void)registry.Apply(
       {1,
        true,
@@ -120,7 +121,7 @@
   CHECK(registry.Target(a).endpoint == "a");
 }
 
-TEST_CASE_FIXTURE(RegistryFixture, "an endpoint of an unknown kind takes one message a call") {
+TEST_CASE_FIXTURE(RegistryFixture, "an endpoint of an unknown kind takes one message per call") {
   (void)registry.Apply({1, true, {MakeMember("a", 1), MakeMember("x", 1, "unknown")}}, kStart);
   CHECK(registry.MaxBatch(registry.FindOrAddId("a")) == 4);
   CHECK(registry.MaxBatch(registry.FindOrAddId("x")) == 1);
--- a/tests/forwarder/event_loop_test.cpp
+++ b/tests/forwarder/event_loop_test.cpp
@@ -1,4 +1,4 @@
-// The event loop under a clock that the test moves.
+// Tests the event loop with a manual clock.
 #include "forwarder/event_loop.hpp"
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 
 class LoopFixture {
  public:
-  // Events and deadlines of one round, in their order; deadlines as negative ids.
+  // Returns the events and deadlines of one round in their order; deadlines as negative ids.
   std::vector<int> RunOnce() {
     std::vector<int> seen;
     last_round = loop.RunOnce(
@@ -59,7 +59,7 @@
   CHECK(RunOnce() == std::vector<int>{3, 4});
 }
 
-TEST_CASE_FIXTURE(LoopFixture, "a closed loop drops what waits and takes nothing more") {
+TEST_CASE_FIXTURE(LoopFixture, "a closed loop drops waiting events and accepts no more") {
   loop.Push(1);
   loop.Close();
   CHECK_FALSE(loop.Push(2));
--- a/tests/forwarder/exploration_test.cpp
+++ b/tests/forwarder/exploration_test.cpp
@@ -1,9 +1,9 @@
-// Random orders of events against the parts that owe each accepted message its final answer, in
-// virtual time: no thread, no socket, no sleep. One seed is one order. An order that breaks a rule
-// is printed with its seed, made as small as it still breaks the same rule.
+// Plays random orders of events against the parts that must give each accepted message its final
+// answer, in virtual time: no thread, no socket, no sleep. Each seed generates one order. An order
+// that breaks a rule is printed with its seed, shrunk as far as it still breaks the same rule.
 //
-// The environment chooses other orders than the fixed ones: EXPLORATION_FIRST (a seed) and
-// EXPLORATION_COUNT. With a count of 1 one order is played again.
+// The environment variables EXPLORATION_FIRST (a seed) and EXPLORATION_COUNT select other orders
+// than the default ones. A count of 1 plays a single order again.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -29,13 +29,13 @@
 
 constexpr std::uint64_t kFirstSeed = 1;
 #if defined(__SANITIZE_ADDRESS__)
-constexpr std::uint64_t kOrders = 15'000;  // each takes some seven times as long
+constexpr std::uint64_t kOrders = 15'000;  // with the sanitizer an order takes 7 times as long
 #else
 constexpr std::uint64_t kOrders = 100'000;
 #endif
-constexpr std::uint64_t kMaxShown = 2;  // broken orders of a rule that are made small and printed
+constexpr std::uint64_t kMaxShown = 2;  // failing orders per rule that are shrunk and printed
 
-// A folder for spools, in memory where the system has one.
+// A temporary folder for spools, in memory if the system has a file system in memory.
 class SpoolFolder {
  public:
   SpoolFolder() {
@@ -67,7 +67,8 @@
                      [&](const Breach& breach) { return breach.rule == rule; });
 }
 
-// Takes away runs of `length` steps for as long as the rule is still broken. True if any went.
+// Removes runs of `length` steps as long as the rule is still broken. Returns true if any step was
+// removed.
 [[nodiscard]] bool DropSteps(OrderOfEvents& order, std::size_t length, const std::string& rule,
                              FolderOwner& owner) {
   bool dropped = false;
@@ -86,7 +87,7 @@
   return dropped;
 }
 
-// The same for what endpoints answer.
+// Removes answers of endpoints as long as the rule is still broken.
 void DropAnswers(OrderOfEvents& order, const std::string& rule, FolderOwner& owner) {
   for (std::size_t i = 0; i < order.steps.size(); ++i) {
     while (true) {
@@ -100,7 +101,7 @@
   }
 }
 
-// The smallest part of the order found that breaks the rule as well.
+// Returns the smallest part of the order found that still breaks the rule.
 [[nodiscard]] OrderOfEvents Shrink(OrderOfEvents order, const std::string& rule,
                                    FolderOwner& owner) {
   bool smaller = true;
@@ -132,7 +133,7 @@
   return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
 }
 
-// What was seen in all orders.
+// The results of all orders.
 struct Exploration {
   std::uint64_t orders = 0;
   std::map<std::string, std::uint64_t> broken{};  // orders that break a rule, by its name
@@ -146,7 +147,7 @@
   sums.restarts += verdict.restarts;
 }
 
-// Plays the orders, and shows some of those that break rules.
+// Plays the orders, and prints some of those that break rules.
 [[nodiscard]] Exploration Explore(std::uint64_t first, std::uint64_t count) {
   observe::SetUpLog({.level = observe::Level::kOff});
   SpoolFolder folder;
@@ -174,19 +175,19 @@
   return exploration;
 }
 
-// The orders are played once for all tests.
+// Plays the orders once for all tests.
 [[nodiscard]] const Exploration& PlayedOrders() {
   static const Exploration kExploration = Explore(FromEnvironment("EXPLORATION_FIRST", kFirstSeed),
                                                   FromEnvironment("EXPLORATION_COUNT", kOrders));
   return kExploration;
 }
 
-// The rules on messages of which the client was told to hand them in again.
+// Whether the rule is about messages that are deferred: their clients may submit them again.
 [[nodiscard]] bool IsAboutDeferral(const std::string& rule) {
   return rule.find("deferral") != std::string::npos;
 }
 
-// The rules of one of the two sorts that were broken; empty if none was.
+// Returns the broken rules of one of the two kinds; empty if none was broken.
 [[nodiscard]] std::string DescribeBroken(bool about_deferral) {
   std::string text;
   for (const auto& [rule, orders] : PlayedOrders().broken) {
@@ -202,13 +203,13 @@
   CHECK(DescribeBroken(false) == "");
 }
 
-// Guards against a message that runs although its client was told to hand it in again, in any order
-// of events.
+// Guards against a message that runs although the platform let its client submit it again, in any
+// order of events.
 TEST_CASE("no order of events defers a message that may not be repeated and has it run") {
   CHECK(DescribeBroken(true) == "");
 }
 
-// Guards against orders in which next to nothing happens any more.
+// Guards against a generator whose orders contain hardly any events.
 TEST_CASE("the orders deliver, notify and restart") {
   const Exploration& played = PlayedOrders();
   constexpr std::uint64_t kEnoughOrders = 100;
--- a/tests/forwarder/final_answer_judge.hpp
+++ b/tests/forwarder/final_answer_judge.hpp
@@ -1,11 +1,12 @@
-// What clients, endpoints and the platform are owed, judged from what they see alone: nothing here
-// knows the forwarder's parts, but for the constants that bound when a notification is posted
-// again.
+// Checks the forwarder's guarantees to clients, endpoints and the platform, based only on what
+// these can observe. Of the forwarder's own parts it uses only the constants that limit when a
+// notification is posted again.
 //
-// The rules are those of the protocol page. An accepted message whose client has heard so is
-// delivered by an endpoint's 200 before its deadline, or its notification is read by the agent by
-// DueAt. A call that may have run is not repeated where that does harm, and no two calls of a
-// message are out at once: the policy never asks for that, whatever its settings are.
+// The rules are those of the protocol page. If a client knows that its message was accepted, the
+// message is delivered by an endpoint's 200 before its deadline, or the agent reads its
+// notification by DueAt. A call that may have run is not repeated if that does harm, and no two
+// calls of a message are in flight at once: the policy never decides on that, whatever its settings
+// are.
 #ifndef BRASSFRONT_TESTS_FORWARDER_FINAL_ANSWER_JUDGE_HPP_
 #define BRASSFRONT_TESTS_FORWARDER_FINAL_ANSWER_JUDGE_HPP_
 
@@ -25,16 +26,16 @@
 
 namespace brassfront::exploration {
 
-// A rule that was broken, and where.
+// A rule that was broken, with details.
 struct Breach {
   std::string rule;
   std::string details;
 };
 
-// What became of an order.
+// The result of playing an order.
 struct Verdict {
   std::vector<Breach> breaches{};
-  // Messages whose clients have heard that they are accepted, and of these.
+  // Messages whose clients know that they were accepted; the next two counts are subsets of these.
   std::uint64_t accepted = 0;
   std::uint64_t delivered = 0;  // in time
   std::uint64_t notified = 0;
@@ -45,18 +46,18 @@
  public:
   using Time = dispatch_policy::Time;
 
-  // The protocol page's times.
-  static constexpr Millis kNoticeGrace{300};          // behind a message's deadline
+  // Times from the protocol page.
+  static constexpr Millis kNoticeGrace{300};          // after a message's deadline
   static constexpr Millis kNoticeAfterRestart{1500};  // from when the process is ready
-  static constexpr Millis kTimeSlack{50};             // of a window
+  static constexpr Millis kTimeSlack{50};             // tolerance of a deduplication window
 
-  // Whether a call that has ended has run.
+  // Whether a completed call has run.
   enum class Ran { kNever, kMaybe, kDelivered };
 
   FinalAnswerJudge(dispatch_policy::Duration dedup_window, std::size_t messages)
       : dedup_window_(dedup_window), messages_(messages) {}
 
-  // ---- what happens ----
+  // ---- events ----
 
   void OnSubmitted(const Submit& submit, Time at) {
     Fate& fate = fates_[submit.id];
@@ -68,7 +69,7 @@
   // The client knows that its message was accepted.
   void OnHeard(const std::string& id) { fates_.at(id).heard = true; }
 
-  // The last byte of a call's request was written. `call` is new.
+  // Called when the last byte of a call's request was written. `call` is a new id.
   void OnCallWritten(std::uint64_t call, const std::string& id, Time at) {
     Fate& fate = fates_.at(id);
     if (fate.deferred) Report("call-after-deferral", id, at);
@@ -81,7 +82,7 @@
     }
     fate.calls[call] = {.written_at = at};
   }
-  // Its answer was written, or its connection has ended.
+  // Called when the call's answer was written, or its connection was closed.
   void OnCallEnded(std::uint64_t call, const std::string& id, Ran ran, Time at) {
     Fate& fate = fates_.at(id);
     Call& ended = fate.calls.at(call);
@@ -90,7 +91,8 @@
     if (ran == Ran::kDelivered && !fate.delivered_at) fate.delivered_at = at;
   }
 
-  // The message's time was up, or it got its final answer, after the first time and by the second.
+  // Whether the message's deadline or its final answer, whichever came first, was later than
+  // `after` and not later than `by`.
   [[nodiscard]] bool EndedWithin(const std::string& id, Time after, Time by) const {
     const Fate& fate = fates_.at(id);
     Time ended = fate.deadline;
@@ -99,15 +101,15 @@
     return ended > after && ended <= by;
   }
 
-  // The agent has read this line of a post and takes it for good.
+  // Called when the agent has read this line of a post, which makes the notification final.
   void OnNotificationRead(const std::string& id, bool deferred, Time at) {
     const auto it = fates_.find(id);
     if (it == fates_.end()) return Report("unknown-notification", id, at);
     Fate& fate = it->second;
-    // Before the client knows of its message the platform may not know it either.
+    // Before the client knows that its message was accepted, the platform may not know the message.
     if (fate.heard && !fate.notified_at) fate.notified_at = at;
     if (!deferred || fate.message_class != kNeverRepeated) return;
-    fate.deferred = true;  // its client hands it in again
+    fate.deferred = true;  // its client submits it again
     const bool may_have_run =
         std::any_of(fate.calls.begin(), fate.calls.end(),
                     [](const auto& entry) { return entry.second.ran != Ran::kNever; });
@@ -125,7 +127,7 @@
     restart.until = restart.due = at + kNoticeAfterRestart;
     restart.held_up_from = at;
   }
-  // `from` and `until` in the time of the other methods.
+  // `from` and `until` are on the same clock as the times of the other methods.
   void AddTrouble(const AgentTrouble& trouble, Time from, Time until) {
     exemptions_.push_back(ExemptionFor(trouble, from, until));
   }
@@ -134,7 +136,7 @@
     breaches_.push_back({std::move(rule), details + " at " + Text(at)});
   }
 
-  // ---- the verdict, once everything is calm ----
+  // ---- the verdict, once nothing is left to do ----
 
   [[nodiscard]] Verdict Finish() {
     Verdict verdict{.restarts = restarts_};
@@ -163,46 +165,46 @@
   struct Fate {
     std::size_t message_class = 0;
     Time sent_at{};
-    Time read_at{};  // its request, by the forwarder
+    Time read_at{};  // when the forwarder read its request
     Time deadline{};
     bool heard = false;
-    bool deferred = false;  // of the class that may not be repeated
+    bool deferred = false;  // only set in the class that may not be repeated
     std::optional<Time> delivered_at;
     std::optional<Time> notified_at;
     std::map<std::uint64_t, Call> calls;
   };
-  // What is due in the interval is due later.
+  // An interval that extends the due times of notifications that are due within it.
   struct Exemption {
     Time from{};
     Time until{};
-    Time due{};           // at this time at the earliest
-    Time held_up_from{};  // hold-ups from here on are added
-    Time extension{};     // added to what is due otherwise
+    Time due{};           // the earliest extended due time
+    Time held_up_from{};  // stalls from this time on are added
+    Time extension{};     // added to the due time
     std::vector<std::string> rejected{};
-    Time rejected_due{};  // of these
+    Time rejected_due{};  // due time of the rejected messages
   };
 
-  // A notification is part of a post so soon, after an earlier one of it was left unanswered, or
-  // failed.
+  // Maximum time until a notification is posted again after an earlier post of it was left
+  // unanswered or failed.
   static constexpr Millis kRecovery =
       NotificationOutbox::kLongestRepeat + NotificationOutbox::kMaxPostDelay;
 
   [[nodiscard]] Exemption ExemptionFor(const AgentTrouble& trouble, Time from, Time until) const {
     using Kind = AgentTrouble::Kind;
     Exemption exemption{.from = from, .until = until, .held_up_from = until};
-    // All messages, posted by themselves one after the other.
+    // Time to post all messages separately, one after the other.
     const Time singly = 2 * NotificationOutbox::kPostSpacing * messages_;
     switch (trouble.kind) {
       case Kind::kAnswersLate:
       case Kind::kCutsRead:
-        return Exemption{};  // what is read at once is in time
+        return Exemption{};  // posts are read at once, so notifications are in time
       case Kind::kReadsLate:
-        // A post is left alone until it is read once one of the others that are has ended.
+        // A new post is protected until it is read only after one of the protected posts has ended.
         exemption.extension = 2 * trouble.delay + kRecovery;
         exemption.until += exemption.extension;
         return exemption;
       case Kind::kRejects:
-        // A post is halved until the unreadable notification is alone in one.
+        // A post is halved until the unreadable notification is alone in a post.
         exemption.extension =
             (std::bit_width(messages_) + 1) * NotificationOutbox::kMaxPostDelay + singly;
         exemption.until += exemption.extension;
@@ -213,13 +215,13 @@
         exemption.due = until + 2 * trouble.delay + kRecovery;
         exemption.until = exemption.due;
         return exemption;
-      default:  // nothing is read until the end
+      default:  // nothing is read until the end of the trouble
         exemption.due = exemption.until = until + kRecovery;
         return exemption;
     }
   }
 
-  // How long the process was held up between the two.
+  // Returns how long the process was stalled between the two times.
   [[nodiscard]] Time HeldUp(Time from, Time until) const {
     Time sum{};
     for (const auto& [begin, end] : held_up_) {
@@ -227,7 +229,7 @@
     }
     return sum;
   }
-  // The time, and how long the process is held up between `from` and what results.
+  // Returns the time plus the stalls of the process between `from` and the result.
   [[nodiscard]] Time Delayed(Time time, Time from) const {
     Time result = time;
     while (true) {
@@ -247,18 +249,18 @@
          id + ", deadline " + Text(fate.deadline) + ", due " + Text(due) + ", " + seen});
   }
 
-  // By when the message's notification must have been read. What delays it is looked at again after
-  // each step, because it may be due in the next trouble then.
+  // Returns by when the message's notification must have been read. The exemptions are checked
+  // again after each extension, because the extended due time may be within the next trouble.
   [[nodiscard]] Time DueAt(const std::string& id, const Fate& fate) const {
     Time due = fate.deadline + kNoticeGrace + HeldUp(fate.sent_at, fate.read_at);
     due = Delayed(due, fate.deadline);
-    Time since = due;  // it may be read from here on
+    Time since = due;  // the notification may be read from this time on
     std::vector<bool> applied(exemptions_.size());
     while (const auto next = FindExemption(id, since, due, applied)) {
       const Exemption& exemption = exemptions_[*next];
       due = std::max(due, Extended(id, due, exemption));
       if (exemption.extension == Time{}) {
-        // From a later time on, what is read late is read late anew.
+        // The notification is read from a later time on, so extensions apply to it again.
         ForgetExtensions(applied);
         since = due;
       }
@@ -266,8 +268,8 @@
     }
     return due;
   }
-  // One that delays what is due in this time and was not applied: one in which nothing is read goes
-  // before those that add to the time.
+  // Returns an exemption that applies between `since` and `due` and was not applied yet. Exemptions
+  // in which nothing is read take precedence over those that extend the due time.
   [[nodiscard]] std::optional<std::size_t> FindExemption(const std::string& id, Time since,
                                                          Time due,
                                                          const std::vector<bool>& applied) const {
@@ -304,7 +306,7 @@
   std::map<std::string, Fate> fates_;
   std::vector<std::pair<Time, Time>> held_up_;
   std::vector<Exemption> exemptions_;
-  std::size_t restart_ = 0;  // the last one
+  std::size_t restart_ = 0;  // index of the last restart's exemption
   std::uint64_t restarts_ = 0;
   std::vector<Breach> breaches_;
 };
--- a/tests/forwarder/final_answer_ledger_test.cpp
+++ b/tests/forwarder/final_answer_ledger_test.cpp
@@ -1,4 +1,4 @@
-// Who still needs a final answer, in virtual time.
+// Tests which messages still need a final answer, in virtual time.
 #include "forwarder/final_answer_ledger.hpp"
 
 #include <doctest/doctest.h>
@@ -14,8 +14,8 @@
 constexpr FinalAnswerLedger::Time kDeadline = kStart + seconds(2);
 constexpr FinalAnswerLedger::Time kExpiry = kDeadline + FinalAnswerLedger::kDecisionGrace;
 
-// Guards against a deadline that nobody sees: the message would never get its final answer.
-TEST_CASE("a message that nobody gave up by its deadline is found, until it is given up") {
+// Guards against a missed deadline, after which a message would never get its final answer.
+TEST_CASE("a message that was not given up by its deadline is found until it is given up") {
   FinalAnswerLedger ledger;
   ledger.Open(1, kDeadline);
   CHECK(ledger.NextWakeUp() == kExpiry);
@@ -43,7 +43,7 @@
   CHECK(ledger.outbox().size() == 0);
 }
 
-TEST_CASE("a message that is closed has no deadline and no notification any more") {
+TEST_CASE("a closed message has no deadline and no notification") {
   FinalAnswerLedger ledger;
   ledger.Open(1, kDeadline);
   ledger.Open(2, kDeadline);
--- a/tests/forwarder/known_list_hold_test.cpp
+++ b/tests/forwarder/known_list_hold_test.cpp
@@ -10,14 +10,14 @@
 
 constexpr KnownListHold::Time kStart = seconds(100);
 
-TEST_CASE("the configured list is held back until discovery's has come") {
+TEST_CASE("the configured list is held back until discovery's list has arrived") {
   KnownListHold hold(kStart);
   CHECK(hold.IsActive(kStart + KnownListHold::kMaxHold - milliseconds(1)));
   hold.End();
   CHECK_FALSE(hold.IsActive(kStart));
 }
 
-TEST_CASE("without an answer it is used in time all the same") {
+TEST_CASE("without an answer from discovery the hold ends after its time limit") {
   KnownListHold hold(kStart);
   CHECK_FALSE(hold.IsActive(kStart + KnownListHold::kMaxHold));
   hold.LimitBy(kStart, seconds(20));
--- a/tests/forwarder/message_table_test.cpp
+++ b/tests/forwarder/message_table_test.cpp
@@ -1,4 +1,4 @@
-// Messages in flight, on a spool in a folder of the test's own.
+// Tests the table of messages in flight, with a spool in a temporary folder.
 #include "forwarder/message_table.hpp"
 
 #include <doctest/doctest.h>
@@ -31,7 +31,7 @@
   }
   ~TableFixture() { std::filesystem::remove_all(folder); }
 
-  // As a new process would.
+  // Opens the spool again, like a new process.
   void Open() {
     table.reset();
     spool.reset();
@@ -72,7 +72,7 @@
   CHECK(table->Add(Request("m")) != message);
 }
 
-TEST_CASE_FIXTURE(TableFixture, "messages that were given up take no place, but memory") {
+TEST_CASE_FIXTURE(TableFixture, "messages that were given up are not counted, but use memory") {
   const auto first = AddPersisted("m");
   AddPersisted("n");
   CHECK_FALSE(table->HasCapacityFor(1));
@@ -98,8 +98,9 @@
   CHECK(post->body == NotificationLine({.id = "m"}));
 }
 
-// Guards against a final answer that the platform hears before the client knows of the message.
-TEST_CASE_FIXTURE(TableFixture, "a message is notified only once its client knows of it") {
+// Guards against a final answer that reaches the platform before the client knows that its message
+// was accepted.
+TEST_CASE_FIXTURE(TableFixture, "a notification is posted only after the acknowledgement") {
   const auto message = table->Add(Request("m"));
   REQUIRE(table->Persist(message, Request("m"), kStart, kStart, kUnixStart));
   table->GiveUp({.message = message}, "test", kStart);
@@ -118,8 +119,8 @@
   CHECK(table->totals().delivered == 1);
 }
 
-// Guards against a delivery that the platform does not count leaving the message without an end.
-TEST_CASE_FIXTURE(TableFixture, "a delivery about the deadline is notified as well") {
+// Guards against a message without a final answer because the platform does not count its delivery.
+TEST_CASE_FIXTURE(TableFixture, "a delivery close to the deadline is notified as well") {
   const auto message = AddPersisted("m");
   const auto late = kStart + seconds(20) - milliseconds(10);
   CHECK_FALSE(table->IsDeliveryCertain(message, late));
@@ -157,8 +158,9 @@
   CHECK(table->size() == 0);
 }
 
-// Guards against a kill between a false delivery and its discovery.
-TEST_CASE_FIXTURE(TableFixture, "the spool owes a message until its delivery is settled") {
+// Guards against the loss of a message if the process is killed before a false delivery is
+// detected.
+TEST_CASE_FIXTURE(TableFixture, "the spool keeps a message open until its delivery is settled") {
   const auto message = AddPersisted("m");
   REQUIRE(table->BeginAttempt(message, endpoint, kStart, kUnixStart));
   table->CompleteAttempt(message, 0, Outcome::kDelivered, kStart);
@@ -170,7 +172,7 @@
   CHECK(recovered[0].attempts.size() == 1);
 }
 
-// Guards against a false delivery at an endpoint that has fallen silent since.
+// Guards against a false delivery by an endpoint that no longer answers.
 TEST_CASE("a delivery that is not settled by its message's deadline is in doubt") {
   UnsettledDeliveries deliveries;
   const auto answer = [] {
@@ -191,9 +193,9 @@
   CHECK(deliveries.empty());
 }
 
-// Guards against a restart's longer time for notifications being taken for time to deliver in.
+// Guards against using the longer time for notifications after a restart as time for deliveries.
 TEST_CASE_FIXTURE(TableFixture,
-                  "a restored message is not delivered for certain behind its own deadline") {
+                  "the delivery of a restored message is not certain after its own deadline") {
   AddPersisted("m");
   Open();
   RecoveredMessage recovered = spool->Recover().at(0);
@@ -202,8 +204,8 @@
   CHECK_FALSE(table->IsDeliveryCertain(message, kStart + milliseconds(200)));
 }
 
-// Guards against a deferred message being tried again, or notified otherwise, by the next process.
-TEST_CASE_FIXTURE(TableFixture, "a message that was given up stays so over a restart") {
+// Guards against a deferred message that the next process tries again or notifies differently.
+TEST_CASE_FIXTURE(TableFixture, "a message that was given up stays given up after a restart") {
   const auto message = AddPersisted("m");
   const Notification deferral{
       .message = message, .id = "m", .retry_allowed = true, .retry_after = milliseconds(250)};
@@ -217,8 +219,8 @@
   CHECK(post->body == NotificationLine(deferral));
 }
 
-// Guards against the restart's allowance for notifications being used up before anybody decides.
-TEST_CASE_FIXTURE(TableFixture, "a restored message without time is decided about soon") {
+// Guards against a decision so late that no time is left for the notification after a restart.
+TEST_CASE_FIXTURE(TableFixture, "a restored message after its deadline is decided on soon") {
   AddPersisted("m");
   Open();
   RecoveredMessage recovered = spool->Recover().at(0);
@@ -227,15 +229,16 @@
   CHECK(table->final_answers().FindExpired(kStart + milliseconds(300)).size() == 1);
 }
 
-// Guards against the end of a message whose endpoint alone says that nothing more is owed.
-TEST_CASE_FIXTURE(TableFixture, "a message that its endpoint takes for over is notified") {
+// Guards against ending a message without a notification because its endpoint answered that the
+// message is over.
+TEST_CASE_FIXTURE(TableFixture, "a message that its endpoint reports as over is notified") {
   const auto message = AddPersisted("m");
   table->Conclude(message, MessageEnd::kGone, kStart);
   CHECK(table->final_answers().outbox().size() == 1);
 }
 
-// Guards against an answer behind the give-up taking back a notification nobody has confirmed.
-TEST_CASE_FIXTURE(TableFixture, "a message that was given up ends with its notification alone") {
+// Guards against a late answer that cancels an unconfirmed notification.
+TEST_CASE_FIXTURE(TableFixture, "a message that was given up ends only with its notification") {
   const auto message = AddPersisted("m");
   table->GiveUp({.message = message}, "test", kStart);
   table->Conclude(message, MessageEnd::kDelivered, kStart);
--- a/tests/forwarder/message_totals_test.cpp
+++ b/tests/forwarder/message_totals_test.cpp
@@ -37,7 +37,7 @@
   Spool spool_;
 };
 
-// How often a disagreement was counted so far, at the start or the exit of a process.
+// Returns how often a disagreement was counted so far, at the start or the exit of a process.
 std::string CountedErrors(const std::string& at) {
   const std::string metrics = observe::FormatMetrics();
   const std::string series = "message_accounting_errors_total{at=\"" + at + "\"} ";
@@ -47,7 +47,7 @@
   return metrics.substr(begin, metrics.find('\n', begin) - begin);
 }
 
-TEST_CASE("totals that agree with the file are no error") {
+TEST_CASE("totals that agree with the file are not an error") {
   SpoolInFolder folder;
   REQUIRE(folder.Accept(1));
   REQUIRE(folder.Accept(2));
@@ -62,7 +62,7 @@
   CHECK(CountedErrors("exit") == before);
 }
 
-TEST_CASE("a message that is missing in the file is an error at the exit") {
+TEST_CASE("a message that is missing in the file is an error at exit") {
   SpoolInFolder folder;
   REQUIRE(folder.Accept(1));
   const std::size_t one_message = folder.spool().file_bytes();
@@ -73,7 +73,7 @@
   CHECK(CountedErrors("exit") != before);
 }
 
-TEST_CASE("a message that the table has lost is an error at the exit") {
+TEST_CASE("a message that the table has lost is an error at exit") {
   SpoolInFolder folder;
   REQUIRE(folder.Accept(1));
   const std::string before = CountedErrors("exit");
@@ -81,7 +81,7 @@
   CHECK(CountedErrors("exit") != before);
 }
 
-TEST_CASE("a spool with less than its last owner left is an error at the start") {
+TEST_CASE("a spool with fewer messages than its last owner recorded is an error at the start") {
   SpoolInFolder folder;
   REQUIRE(folder.Accept(1));
   const std::string before = CountedErrors("start");
--- a/tests/forwarder/notification_outbox_test.cpp
+++ b/tests/forwarder/notification_outbox_test.cpp
@@ -1,4 +1,4 @@
-// What is posted to the platform and when, in virtual time.
+// Tests what is posted to the platform and when, in virtual time.
 #include "forwarder/notification_outbox.hpp"
 
 #include <doctest/doctest.h>
@@ -22,31 +22,31 @@
   return {.message = message, .id = "m" + std::to_string(message)};
 }
 
-// What is to be posted at that time; a post whose answer never comes makes way.
+// Returns the messages of the next post at that time; its answer never arrives.
 Messages PostAt(Outbox& outbox, Outbox::Time now) {
   const auto post = outbox.NextPost(now);
   return post ? post->messages : Messages{};
 }
 
-TEST_CASE("a notification that allows a retry tells when") {
+TEST_CASE("a notification that allows a retry contains the delay") {
   const Notification notification{
       .id = "a\"b", .retry_allowed = true, .retry_after = std::chrono::milliseconds(250)};
   CHECK(NotificationLine(notification) ==
         "{\"id\":\"a\\\"b\",\"status\":\"deferred\",\"again_ms\":250}\n");
 }
 
-TEST_CASE("a notification without a retry tells that the message is undeliverable") {
+TEST_CASE("a notification without a retry reports the message as undeliverable") {
   CHECK(NotificationLine({.id = "m"}) == "{\"id\":\"m\",\"status\":\"undeliverable\"}\n");
 }
 
-TEST_CASE("a post has its notifications in the order of their addition") {
+TEST_CASE("a post contains its notifications in the order of their addition") {
   Outbox outbox;
   outbox.Add(Of(2), kStart);
   outbox.Add(Of(1), kStart);
   CHECK(PostAt(outbox, kStart) == Messages{2, 1});
 }
 
-TEST_CASE("what is new is posted at once, and confirmed once") {
+TEST_CASE("new notifications are posted at once, and confirmed once") {
   Outbox outbox;
   outbox.Add(Of(1), kStart);
   outbox.Add(Of(2), kStart);
@@ -64,7 +64,7 @@
   CHECK_FALSE(outbox.Complete(post->id, PostOutcome::kConfirmed, kStart));
 }
 
-// Guards against one post that is not answered holding back all that come behind it.
+// Guards against an unanswered post that delays all later notifications.
 TEST_CASE("a new notification is posted in time, however many posts are not answered") {
   Outbox outbox;
   Outbox::MessageId next = 1;
@@ -83,8 +83,8 @@
   }
 }
 
-// Guards against a platform that always answers late being asked for ever.
-TEST_CASE("a post stays until it is answered, however late, while others are repeated") {
+// Guards against endless repeats at a platform that always answers late.
+TEST_CASE("a protected post waits for a late answer while its notifications are repeated") {
   Outbox outbox;
   outbox.Add(Of(1), kStart);
   const auto first = outbox.NextPost(kStart);
@@ -98,7 +98,7 @@
   CHECK(outbox.size() == 0);
 }
 
-TEST_CASE("what is not confirmed soon is posted again while the first post is waited for") {
+TEST_CASE("an unconfirmed notification is posted again while its first post is pending") {
   Outbox outbox;
   outbox.Add(Of(1), kStart);
   CHECK(PostAt(outbox, kStart) == Messages{1});
@@ -110,7 +110,7 @@
   CHECK(outbox.NextWakeUp() == kStart + Outbox::kFirstRepeat + Outbox::kUrgentRepeat);
 }
 
-TEST_CASE("a post that failed is repeated sooner than one that is waited for") {
+TEST_CASE("a post that failed is repeated sooner than a pending one") {
   Outbox outbox;
   outbox.Add(Of(1), kStart);
   const auto post = outbox.NextPost(kStart);
@@ -120,7 +120,7 @@
   CHECK(PostAt(outbox, kStart + Outbox::kFirstRetry) == Messages{1});
 }
 
-// Guards against one line that the platform can't read holding back all that share its post.
+// Guards against an unreadable line that blocks all other notifications of its post.
 TEST_CASE("a rejected post is halved until the notification that cannot be read is alone") {
   Outbox outbox;
   constexpr Outbox::MessageId kUnreadable = 77;
@@ -156,7 +156,7 @@
   CHECK(outbox.NextWakeUp() > now + Outbox::kRejectedRetry / 2);
 }
 
-TEST_CASE("what was rejected takes turns with what is new") {
+TEST_CASE("rejected notifications alternate with new ones") {
   Outbox outbox;
   outbox.Add(Of(1), kStart);
   const auto first = outbox.NextPost(kStart);
@@ -172,7 +172,7 @@
   CHECK(repeated);
 }
 
-TEST_CASE("at another address everything that is not confirmed is posted at once") {
+TEST_CASE("after a change of the address all unconfirmed notifications are posted at once") {
   Outbox outbox;
   outbox.Add(Of(1), kStart);
   const auto post = outbox.NextPost(kStart);
@@ -182,7 +182,7 @@
   CHECK(PostAt(outbox, kStart + milliseconds(1)) == Messages{1});
 }
 
-TEST_CASE("a post stays within the bounds of its body and of its lines") {
+TEST_CASE("a post stays within the maximum body size and number of lines") {
   Outbox outbox;
   for (Outbox::MessageId message = 1; message <= 501; ++message) outbox.Add(Of(message), kStart);
   CHECK(PostAt(outbox, kStart).size() == Outbox::kMaxBatchSize);
@@ -205,17 +205,17 @@
   CHECK(end->confirmed.empty());
 }
 
-// The page's bound: a notification is read so soon after its message's time.
+// The protocol page's limit: a notification is read this soon after its message's deadline.
 constexpr milliseconds kReadWithin{300};
 
-// An agent that draws for each post whether it meets a fault, and is read at once otherwise.
+// An agent that has a fault for a random share of posts, and reads the other posts at once.
 class UnreliableAgent {
  public:
   enum class Fault { kCut, kSilent, kRefused };
 
   UnreliableAgent(Fault fault, double share) : fault_(fault), share_(share) {}
 
-  // Adds notifications at random times. Returns how many were not read in time.
+  // Adds notifications at random times. Returns the number of those that were not read in time.
   [[nodiscard]] std::size_t CountLate(Outbox::MessageId notifications) {
     std::exponential_distribution<double> pause_ms(kNotificationsPerMs);
     Outbox::Time now = kStart;
@@ -273,13 +273,13 @@
   const double share_;
   std::mt19937_64 random_{1};
   Outbox outbox_;
-  std::map<Outbox::MessageId, Outbox::Time> added_at_;  // of those that were not read
+  std::map<Outbox::MessageId, Outbox::Time> added_at_;  // of notifications that were not read yet
   std::multimap<Outbox::Time, Answer> answers_;
   std::size_t late_ = 0;
 };
 
-// Guards against a backoff that leaves a notification only a few tries before it is late.
-TEST_CASE("of a share of posts that fail, as many notifications are late as the tries allow") {
+// Guards against a backoff that leaves only a few posts for a notification before it is late.
+TEST_CASE("if posts fail at random, notifications are late no more often than ten posts fail") {
   constexpr Outbox::MessageId kNotifications = 50'000;
   constexpr int kTriesInTime = 10;
   using Fault = UnreliableAgent::Fault;
@@ -293,8 +293,8 @@
   }
 }
 
-// Guards against a notification being in no post that is left alone until a slow platform reads it.
-TEST_CASE("a platform that reads each post late has read all of them two delays later") {
+// Guards against a notification that no protected post carries until a slow platform reads it.
+TEST_CASE("a platform that reads each post late reads each notification within two delays") {
   constexpr milliseconds kReadsAfter{600};
   constexpr milliseconds kReadBy = 2 * kReadsAfter + Outbox::kLongestRepeat + Outbox::kMaxPostDelay;
   constexpr Outbox::MessageId kNotifications = 200;
@@ -321,8 +321,8 @@
   CHECK(outbox.size() == 0);
 }
 
-// Guards against the tries before a notification is late growing with the notifications.
-TEST_CASE("an agent that refuses all connections is asked 50 times a second, and new ones once") {
+// Guards against a number of retries per second that grows with the number of notifications.
+TEST_CASE("a refusing agent gets 50 retries per second, and one post per new notification") {
   Outbox outbox;
   constexpr Outbox::MessageId kNotifications = 100;
   constexpr std::size_t kRetriesASecond = 50;
--- a/tests/forwarder/order_of_events.hpp
+++ b/tests/forwarder/order_of_events.hpp
@@ -1,6 +1,6 @@
 // One order of events around a forwarder, as a list of independent steps: what clients, endpoints,
-// discovery, the agent and the operators do, and when. It is drawn from a seed; any part of the
-// list is an order as well, so that a failing one can be made smaller.
+// discovery, the agent and the operators do, and when. It is generated from a seed. Any subset of
+// the steps is an order too, so that a failing order can be shrunk.
 #ifndef BRASSFRONT_TESTS_FORWARDER_ORDER_OF_EVENTS_HPP_
 #define BRASSFRONT_TESTS_FORWARDER_ORDER_OF_EVENTS_HPP_
 
@@ -32,30 +32,30 @@
   enum class Kind {
     kOk,
     kOkAboutDeadline,   // `delay` counts from the client's deadline
-    kOkCutOff,          // the first line of a 200, then the connection ends
+    kOkCutOff,          // the first line of a 200, then the connection is closed
     kOver,              // 410
     kWait,              // 429
     kError,             // 500
     kBusy,              // 503
     kSlotsTaken,        // 503 with Slots-Taken
     kExhausted,         // 504
-    kCut,               // the connection ends after the request was written
-    kConnectionFailed,  // it never came up
+    kCut,               // the connection is closed after the request was written
+    kConnectionFailed,  // the connection cannot be established
     kNever
   };
   Kind kind = Kind::kOk;
   Millis delay{20};           // from the request's last byte
-  Millis connect{0};          // until the connection is up
-  Millis wait{0};             // of kWait
-  bool crosses_stop = false;  // when the call is stopped, its answer has just come
+  Millis connect{0};          // until the connection is established
+  Millis wait{0};             // Retry-After of kWait
+  bool crosses_stop = false;  // when the call is stopped, its answer has just arrived
 };
 
-// A client hands a message in. Times of all steps count from the start of the order.
+// A client submits a message. Times of all steps count from the start of the order.
 struct Submit {
   enum class Client {
     kStays,
-    kLeavesBeforeReply,  // the forwarder sees that
-    kLeavesUnseen        // while the reply is under way
+    kLeavesBeforeReply,  // the forwarder notices the disconnection
+    kLeavesUnseen        // disconnects while the reply is being sent; the forwarder does not notice
   };
   Millis at{};
   std::string id;
@@ -64,10 +64,10 @@
   Millis time{};     // from `at`
   Millis transit{};  // until the request is read
   Client client = Client::kStays;
-  std::vector<Answer> answers;  // to its calls, in order; kOk to all further ones
+  std::vector<Answer> answers;  // to its calls, in order; all further calls are answered by kOk
 };
 
-// Discovery tells a change, which arrives after the delay.
+// Discovery reports a change, which arrives after the delay.
 struct ChangeEndpoint {
   Millis at{};
   std::size_t endpoint = 0;
@@ -75,7 +75,8 @@
   Millis delay{};
 };
 
-// What the agent does with posts until the end. At other times it confirms them at once.
+// A fault of the agent that applies to posts from `at` to `until`. At other times the agent
+// confirms posts at once.
 struct AgentTrouble {
   enum class Kind {
     kAnswersLate,  // reads at once, answers after `delay`
@@ -83,25 +84,25 @@
     kSilent,       // never reads, never answers
     kCutsUnread,
     kCutsRead,  // reads, and closes without an answer
-    kError,     // 500, unread
-    kRefuses,   // no connection
-    kRejects,   // 400 where one of `rejected` is in the post
-    kMoved,     // at the old address nobody is left; the forwarder is told the new one at the end
-    kMixed      // for each post one of the others by chance
+    kError,     // answers 500 without reading
+    kRefuses,   // refuses connections
+    kRejects,   // answers 400 if one of `rejected` is in the post
+    kMoved,     // refuses connections at the old address; the forwarder gets the new one at `until`
+    kMixed      // a random kind for each post
   };
   Millis at{};
   Millis until{};
   Kind kind = Kind::kAnswersLate;
   Millis delay{};
   std::vector<std::string> rejected;  // ids of messages
-  std::uint64_t seed = 0;             // of kMixed
+  std::uint64_t seed = 0;             // seed of kMixed
 };
 
-// Nothing of the process runs for that long, at most 150 ms.
+// The process is stalled for this long, at most 150 ms.
 struct HoldUp {
   Millis at{};
   Millis duration{};
-  bool within_decision = false;  // the next decision is held up before it is carried out
+  bool within_decision = false;  // the stall is between the next decision and its actions
 };
 
 // SIGKILL, or SIGTERM with SIGKILL 3.7 s later, then a new process.
@@ -109,9 +110,9 @@
   Millis at{};
   bool graceful = false;
   Millis down{};              // from SIGKILL to the start of the new process
-  Millis ready{};             // from there until clients can connect
-  Millis first_list{};        // until discovery's list comes
-  Millis exclusions_known{};  // until it is known which endpoints operators took out
+  Millis ready{};             // from the start until clients can connect
+  Millis first_list{};        // from the start until discovery's list arrives
+  Millis exclusions_known{};  // from the start until the excluded endpoints are known
 };
 
 using Step = std::variant<Submit, ChangeEndpoint, AgentTrouble, HoldUp, Restart>;
@@ -123,7 +124,7 @@
   std::vector<Step> steps;
 };
 
-// Draws an order.
+// Generates a random order from a seed.
 class OrderSource {
  public:
   explicit OrderSource(std::uint64_t seed) : seed_(seed), random_(seed) {}
@@ -267,7 +268,7 @@
   [[nodiscard]] Restart DrawRestart(const OrderOfEvents& order) {
     Restart restart;
     restart.at = Time(0, 4000);
-    if (Chance(50)) {  // right behind a submission
+    if (Chance(50)) {  // shortly after a submission
       const auto& submit = std::get<Submit>(order.steps[0]);
       restart.at = submit.at + Time(0, 40);
     }
@@ -283,7 +284,7 @@
   std::mt19937_64 random_;
 };
 
-// ======== for people ========
+// ======== human-readable descriptions ========
 
 [[nodiscard]] inline std::string ToText(Millis time) {
   return std::to_string(time.count()) + " ms";
--- a/tests/forwarder/order_player.hpp
+++ b/tests/forwarder/order_player.hpp
@@ -1,5 +1,6 @@
-// Plays one order of events against a virtual forwarder: the clients, endpoints, discovery, agent
-// and threads around it, and its processes one after the other on the same spool.
+// Plays one order of events against a virtual forwarder: simulates the clients, endpoints,
+// discovery, agent and threads around it, and runs its processes one after the other on the same
+// spool.
 #ifndef BRASSFRONT_TESTS_FORWARDER_ORDER_PLAYER_HPP_
 #define BRASSFRONT_TESTS_FORWARDER_ORDER_PLAYER_HPP_
 
@@ -33,8 +34,8 @@
 
 class OrderPlayer : private Environment {
  public:
-  // The folder of `owner` is emptied of its spool. The arguments outlive the player. What happens
-  // is written to `trace`, if it is given.
+  // The spool in the folder of `owner` is deleted. The arguments must outlive the player. A log of
+  // all events is appended to `trace`, if it is given.
   OrderPlayer(const OrderOfEvents& order, FolderOwner& owner, std::string* trace = nullptr)
       : order_(order),
         owner_(owner),
@@ -43,7 +44,7 @@
         members_(order.endpoints),
         judge_(order.settings.classes.at(kKeyed).dedup_window, CountMessages(order)) {}
 
-  // Plays it until all is calm.
+  // Plays the order until nothing is left to do.
   [[nodiscard]] Verdict Play() {
     std::remove((owner_.folder() + "/spool").c_str());
     for (const Step& step : order_.steps) {
@@ -60,15 +61,15 @@
   using Function = std::function<void(Time)>;
 
   static constexpr Time kStart = std::chrono::seconds(100);
-  static constexpr Time kRoundTime = std::chrono::microseconds(20);  // that a round takes
+  static constexpr Time kRoundTime = std::chrono::microseconds(20);  // duration of a round
   static constexpr Time kHopTime = std::chrono::microseconds(200);   // between threads and peers
   static constexpr std::size_t kMaxRounds = 200'000;
-  static constexpr Millis kSettlingTime{20'000};     // behind the last step and deadline
-  static constexpr Millis kClientReplyTimeout{400};  // of the protocol page
-  static constexpr Millis kKillAfterTerm{3700};      // of the protocol page
+  static constexpr Millis kSettlingTime{20'000};     // after the last step and deadline
+  static constexpr Millis kClientReplyTimeout{400};  // from the protocol page
+  static constexpr Millis kKillAfterTerm{3700};      // from the protocol page
   static constexpr Millis kHealthCheckTime{5};
 
-  // Something outside of the forwarder's loop that happens at its time.
+  // An event outside the forwarder's loop, and its time.
   struct ScheduledEvent {
     Time at{};
     std::uint64_t number = 0;
@@ -81,7 +82,7 @@
     std::shared_ptr<EndpointCall> call;
     std::vector<std::string> ids;
     Time start_by{};
-    std::vector<Answer> answers;  // of each message; the first says how the call fares
+    std::vector<Answer> answers;  // one per message; the first one determines the call's outcome
     bool written = false;
     Time written_at{};
   };
@@ -118,7 +119,8 @@
   void At(Time at, Function function) {
     scheduled_events_.push({at, next_number_++, std::move(function)});
   }
-  // In a thread of the present process, if that lives then; later if it is held up.
+  // Runs the function in a thread of the current process, unless that has ended by then. The
+  // function runs later if the process is stalled.
   void InProcess(Time at, Function function) {
     At(at, [this, process = process_, function = std::move(function)](Time when) {
       if (process != process_ || !forwarder_) return;
@@ -128,7 +130,7 @@
   }
   void ExtendEnd(Time at) { end_ = std::max(end_, at + kSettlingTime); }
 
-  // The next happening or round of the loop, whichever is first.
+  // Runs the next scheduled event or the next round of the loop, whichever is earlier.
   void RunNext() {
     Time round_at = Time::max();
     if (forwarder_) round_at = std::max({forwarder_->NextRoundAt(), held_until_, now_});
@@ -154,7 +156,7 @@
     if (hold_up_within_ <= Millis(0)) return;
     const Time until = now_ + std::exchange(hold_up_within_, Millis(0));
     judge_.OnHeldUp(now_, until);
-    Trace("held up within a decision");
+    Trace("stalled within a decision");
     now_ = until;
   }
 
@@ -186,7 +188,7 @@
       last_list_at_ = std::max(last_list_at_, at + step.delay);  // the stream keeps the order
       At(last_list_at_, [this, change = Change{member, ++revision_}](Time) {
         if (!forwarder_ || !watch_is_open_) return;
-        Trace("list told");
+        Trace("list sent");
         forwarder_->Push(MemberList{.revision = change.revision, .members = {change.member}});
       });
     });
@@ -249,7 +251,7 @@
     At(now_ + step.first_list, [this, process = process_](Time) {
       if (process != process_ || !forwarder_) return;
       watch_is_open_ = true;
-      Trace("whole list told");
+      Trace("complete list sent");
       forwarder_->Push(MemberList{.revision = revision_, .complete = true, .members = members_});
     });
   }
@@ -274,7 +276,7 @@
 
   void SubmitRequest(const Submit& step, Time read) {
     judge_.OnRequestRead(step.id, read);
-    if (!forwarder_->KnowsDestination(step.destination)) return Trace(step.id + " refused unread");
+    if (!forwarder_->KnowsDestination(step.destination)) return Trace(step.id + " rejected unread");
     DeliveryRequest request;
     request.id = step.id;
     request.key = step.message_class == kKeyed ? "key-" + step.id : "";
@@ -283,7 +285,7 @@
     request.destination = step.destination;
     request.time_left = step.time;
     request.body = "body";
-    Trace(step.id + " handed in");
+    Trace(step.id + " submitted");
     forwarder_->Push(VirtualForwarder::Submission{std::move(request), step.message_class, read});
   }
 
@@ -292,7 +294,7 @@
     InProcess(now_ + kHopTime, [this, &step, message](Time at) {
       const bool left = at > kStart + step.at + kClientReplyTimeout;
       if (left || step.client == Submit::Client::kLeavesBeforeReply) {
-        Trace(step.id + " cancelled: its client has gone");
+        Trace(step.id + " cancelled: its client has disconnected");
         return forwarder_->Push(VirtualForwarder::ClientDisconnected{message});
       }
       Trace(step.id + " accepted");
@@ -301,7 +303,7 @@
     });
   }
 
-  void OnRefused(const std::string& client_id) override { Trace(client_id + " refused"); }
+  void OnRefused(const std::string& client_id) override { Trace(client_id + " rejected"); }
 
   // ======== endpoints ========
 
@@ -328,7 +330,7 @@
     return taken < answers.size() ? answers[taken] : Answer{};
   }
 
-  // The thread of the call has its connection, or could not get one.
+  // Called when the call's thread has its connection, or could not get one.
   void Write(std::uint64_t id) {
     const auto it = calls_.find(id);
     if (it == calls_.end()) return;
@@ -377,10 +379,10 @@
     Finish(id, std::move(result));
   }
 
-  // A batch's answer with an end for each message.
+  // Returns a batch's answer with a state for each message.
   [[nodiscard]] EndpointCallResult AnswerEach(std::uint64_t id, const RunningCall& running,
                                               EndpointCallResult result, Time at) {
-    // Nothing of a call counts that outlasts one of its messages.
+    // Nothing of a call counts that completes after one of its messages ended.
     const bool counts =
         std::none_of(running.ids.begin(), running.ids.end(), [&](const std::string& message) {
           return judge_.EndedWithin(message, running.written_at, at);
@@ -401,7 +403,7 @@
     if (running.written) judge_.OnCallEnded(id, message, ran, at.value_or(now_));
   }
 
-  // Calls that the forwarder has stopped since its last round.
+  // Ends the calls that the forwarder has stopped since its last round.
   void EndStoppedCalls() {
     std::vector<std::uint64_t> stopped;
     for (const auto& [id, running] : calls_) {
@@ -475,7 +477,8 @@
     }
   }
 
-  // What is read then counts, if the post is still open. One that takes too long is closed before.
+  // Ends the post at that time. If it is still open then, the lines of `read` count as read. A post
+  // that exceeds the answer timeout is closed before.
   void EndPost(std::uint64_t post, Time at, int status, std::string read) {
     const Time latest = now_ + NotificationClient::kAnswerTimeout;
     if (at > latest) return EndPost(post, latest, 0, {});
@@ -517,11 +520,11 @@
     CheckTotals();
     const std::size_t open = forwarder_->messages().size() + spool_->open_messages() +
                              forwarder_->messages().final_answers().open() + calls_.size();
-    if (open > 0) judge_.Report("open", std::to_string(open) + " things left", now_);
+    if (open > 0) judge_.Report("open", std::to_string(open) + " items left", now_);
     CheckStoredEnds();
   }
 
-  // Each message that was accepted is finished once.
+  // Checks that each accepted message is finished exactly once.
   void CheckStoredEnds() {
     for (const auto& [number, count] : CountStoredEnds(owner_.folder())) {
       if (count == 1) continue;
@@ -537,7 +540,7 @@
   FolderOwner& owner_;
   std::string* const trace_;
   const Config config_;
-  std::vector<Member> members_;  // as discovery has them
+  std::vector<Member> members_;  // discovery's current state
   FinalAnswerJudge judge_;
 
   Time now_ = kStart;
@@ -546,7 +549,7 @@
   std::priority_queue<ScheduledEvent> scheduled_events_;
   std::uint64_t next_number_ = 0;
   Time held_until_{};
-  Millis hold_up_within_{};  // of the next decision
+  Millis hold_up_within_{};  // stall within the next decision
 
   std::uint64_t process_ = 0;  // changes with each start and end
   std::optional<Spool> spool_;
--- a/tests/forwarder/request_validator_test.cpp
+++ b/tests/forwarder/request_validator_test.cpp
@@ -29,27 +29,27 @@
   return std::get<RequestError>(result);
 }
 
-TEST_CASE("a valid request has its names' positions in the settings") {
+TEST_CASE("a valid request yields the positions of its names in the settings") {
   const auto result = ValidateRequest(Settings(), Request("keyed", "second", "k"));
   REQUIRE(std::holds_alternative<RequestIndexes>(result));
   CHECK(std::get<RequestIndexes>(result).message_class == 1);
   CHECK(std::get<RequestIndexes>(result).tenant == 1);
 }
 
-TEST_CASE("a request without a tenant is the first one's, also where there is none") {
+TEST_CASE("a request without a tenant belongs to the first tenant, even if there are none") {
   Config config = Settings();
   CHECK(std::get<RequestIndexes>(ValidateRequest(config, Request("plain", "", ""))).tenant == 0);
   config.tenant_names.clear();
   CHECK(std::get<RequestIndexes>(ValidateRequest(config, Request("plain", "", ""))).tenant == 0);
 }
 
-TEST_CASE("a request that the settings exclude has a typed error") {
+TEST_CASE("a request that the settings do not allow has a typed error") {
   CHECK(ErrorFor(Request("x", "first", "k")) == RequestError::kUnknownClass);
   CHECK(ErrorFor(Request("plain", "x", "k")) == RequestError::kUnknownTenant);
   CHECK(ErrorFor(Request("keyed", "first", "")) == RequestError::kMissingKey);
 }
 
-TEST_CASE("clients are told the error in the words of the protocol") {
+TEST_CASE("error texts for clients are those of the protocol") {
   CHECK(std::string(ToString(RequestError::kUnknownClass)) == "unknown class");
   CHECK(std::string(ToString(RequestError::kUnknownTenant)) == "unknown tenant");
   CHECK(std::string(ToString(RequestError::kMissingKey)) == "no key");
--- a/tests/forwarder/shutdown_test.cpp
+++ b/tests/forwarder/shutdown_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr GracefulShutdown::Time kStart = seconds(100);
 
-TEST_CASE("a forwarder that was not asked to shut down goes on") {
+TEST_CASE("a forwarder that was not asked to shut down keeps running") {
   const GracefulShutdown shutdown;
   CHECK_FALSE(shutdown.IsOver(kStart, 0));
   CHECK_FALSE(shutdown.IsOver(GracefulShutdown::Time::max(), 0));
--- a/tests/forwarder/stored_ends.hpp
+++ b/tests/forwarder/stored_ends.hpp
@@ -1,4 +1,4 @@
-// How often the spool of a folder records the end of each message that it has accepted.
+// Counts how often the spool of a folder records the end of each message that it has accepted.
 #ifndef BRASSFRONT_TESTS_FORWARDER_STORED_ENDS_HPP_
 #define BRASSFRONT_TESTS_FORWARDER_STORED_ENDS_HPP_
 
--- a/tests/forwarder/virtual_endpoint.hpp
+++ b/tests/forwarder/virtual_endpoint.hpp
@@ -1,4 +1,4 @@
-// What a virtual endpoint answers to a call.
+// The answers of a virtual endpoint to calls.
 #ifndef BRASSFRONT_TESTS_FORWARDER_VIRTUAL_ENDPOINT_HPP_
 #define BRASSFRONT_TESTS_FORWARDER_VIRTUAL_ENDPOINT_HPP_
 
@@ -12,7 +12,7 @@
 
 constexpr int kHttpOk = 200;
 
-// The answer to a call as a whole.
+// Returns the HTTP answer to a call.
 [[nodiscard]] inline EndpointCallResult MakeResult(const Answer& answer) {
   using Kind = Answer::Kind;
   EndpointCallResult result{.outcome = CallOutcome::kAnswered, .complete = true};
@@ -49,7 +49,7 @@
   return result;
 }
 
-// What a batch's answer says of one of its messages, and whether that ran.
+// The state of one message in a batch's answer, and whether its attempt ran.
 struct BatchItemEnd {
   std::string state;
   FinalAnswerJudge::Ran ran = FinalAnswerJudge::Ran::kMaybe;
--- a/tests/forwarder/virtual_forwarder.hpp
+++ b/tests/forwarder/virtual_forwarder.hpp
@@ -1,12 +1,12 @@
 // One process of the forwarder in virtual time: the real dispatch policy, message table (with its
 // ledger and outbox), call tracker, endpoint registry, list hold and shutdown, on a real spool. It
-// has no thread, socket or clock: the owner passes events in, says what time it is, and runs
-// rounds.
+// has no thread, socket or clock: the owner passes events in, provides the time, and runs rounds.
 //
-// It mirrors the engine's glue between these parts and must follow it: src/forwarder/engine.cpp
-// (the round in Run, On, Decide, Apply, Restore, GiveUpExpired, StartPosts) and the parts of
-// src/forwarder/call_dispatcher.cpp that wait for no thread. Left out are logs, metrics, retries of
-// a failing spool, and connections. Whoever changes the order of steps there changes it here.
+// It mirrors the engine code that connects these parts, and must be kept in step with it:
+// src/forwarder/engine.cpp (the round in Run, On, Decide, Apply, Restore, GiveUpExpired,
+// StartPosts) and the parts of src/forwarder/call_dispatcher.cpp that wait for no thread. It omits
+// logs, metrics, retries of a failing spool, and connections. A change of the order of steps there
+// must be repeated here.
 #ifndef BRASSFRONT_TESTS_FORWARDER_VIRTUAL_FORWARDER_HPP_
 #define BRASSFRONT_TESTS_FORWARDER_VIRTUAL_FORWARDER_HPP_
 
@@ -43,14 +43,14 @@
 using dispatch_policy::MessageId;
 using dispatch_policy::Time;
 
-// The spool's clock, which follows the virtual one.
+// Returns the spool's time for a virtual time.
 [[nodiscard]] inline UnixMs SpoolTimeAt(Time now) {
   constexpr UnixMs kUnixStart{1'700'000'000'000};
   return kUnixStart + std::chrono::floor<std::chrono::milliseconds>(now);
 }
 
-// The threads, peers and clock around a forwarder. It must not call the forwarder back at once:
-// what follows from a call is passed in later.
+// The threads, peers and clock around a forwarder. The methods must not call the forwarder: events
+// that follow from them are pushed later.
 class Environment {
  public:
   Environment() = default;
@@ -59,12 +59,12 @@
   virtual ~Environment() = default;
 
   [[nodiscard]] virtual Time Now() const = 0;
-  // The process may be held up here: a decision was made, and nothing of it was carried out.
+  // Called between a decision and its actions, where the process may be stalled.
   virtual void MaybeHoldUp() = 0;
-  // The client's thread is told that its message is accepted, or that it is not.
+  // Reply to the client's thread whether its message is accepted.
   virtual void OnAccepted(MessageId message, const std::string& client_id) = 0;
   virtual void OnRefused(const std::string& client_id) = 0;
-  // The call is for a thread of its own from here on; no first byte later than `start_by`.
+  // Passes the call to its own thread. Its first byte must not be sent after `start_by`.
   virtual void StartCall(const PendingCall& call, const std::string& endpoint, Time start_by) = 0;
   virtual void StartPost(std::uint64_t post, std::string body) = 0;
   virtual void AbandonPost(std::uint64_t post) = 0;
@@ -73,11 +73,11 @@
 
 class VirtualForwarder : private CallTracker::Starter {
  public:
-  // What other threads push.
+  // The events that other threads push.
   struct Submission {
     DeliveryRequest request;
     std::size_t message_class = 0;
-    Time received_at{};  // its time counts from here
+    Time received_at{};  // the message's time counts from here
   };
   struct MessageAcknowledged {
     MessageId message = 0;
@@ -91,12 +91,12 @@
       std::variant<Submission, MessageAcknowledged, ClientDisconnected, EndpointCallResult,
                    MemberList, NotificationPostResult, ShutdownRequested, DiscoveryAddressChanged>;
 
-  static constexpr std::size_t kMaxBodyMemory = std::size_t{1} << 20;  // bytes, of all bodies
+  static constexpr std::size_t kMaxBodyMemory = std::size_t{1} << 20;  // bytes, for all bodies
   static constexpr std::chrono::milliseconds kHousekeepingInterval{1000};
   static constexpr std::chrono::milliseconds kHoldCheckInterval{5};
 
-  // The arguments outlive the forwarder. No restored message and no list is passed on to the policy
-  // before `exclusions_known_at`.
+  // The arguments must outlive the forwarder. No restored message and no list is passed on to the
+  // policy before `exclusions_known_at`.
   VirtualForwarder(const Config& config, Spool& spool, Environment& environment,
                    Time exclusions_known_at)
       : config_(config),
@@ -115,7 +115,7 @@
     deadlines_.Set(Now() + kHousekeepingInterval, {DeadlineKind::kHousekeeping});
   }
 
-  // Takes over what the spool owes, and begins.
+  // Restores the spool's open messages, and starts.
   void Restore() {
     const Time now = Now();
     held_events_.emplace_back(endpoints_.Apply(config_.known, now));
@@ -134,13 +134,13 @@
 
   // ---- the loop ----
 
-  // When the loop's next round begins, if nothing holds it up.
+  // Returns when the loop's next round starts, unless the process is stalled.
   [[nodiscard]] Time NextRoundAt() const {
     if (!inbox_.empty()) return Time::min();
     return std::min(deadlines_.Next(), NextWakeUp());
   }
 
-  // One round. False if the shutdown is over.
+  // Runs one round. Returns false if the shutdown is over.
   [[nodiscard]] bool RunRound() {
     for (InboxEvent& event : std::exchange(inbox_, {})) {
       std::visit([this](auto& alternative) { On(std::move(alternative)); }, event);
@@ -163,7 +163,8 @@
  private:
   [[nodiscard]] Time Now() const { return environment_.Now(); }
 
-  // Rejections and failures are applied before accepted messages are persisted, all else after.
+  // Rejections and failures are applied before accepted messages are persisted, all other actions
+  // after that.
   [[nodiscard]] static bool EndsMessage(const dispatch_policy::Action& action) {
     return std::holds_alternative<dispatch_policy::RejectMessage>(action) ||
            std::holds_alternative<dispatch_policy::FailMessage>(action);
@@ -220,7 +221,7 @@
     calls_.CloseBatches();
   }
 
-  // As SubmissionQueue::AcceptAll.
+  // Like SubmissionQueue::AcceptAll.
   void AcceptAll() {
     for (auto& [message, submission] : std::exchange(submissions_, {})) {
       const Time now = Now();
@@ -326,7 +327,7 @@
     messages_.GiveUp({.message = action.message}, ToString(action.reason), Now());
   }
 
-  // False if no client waits for a reply.
+  // Returns false if no client waits for a reply.
   bool RefuseSubmission(MessageId message) {
     const auto node = submissions_.extract(message);
     if (node.empty()) return false;
@@ -350,7 +351,7 @@
     calls_.WithdrawCalls([this](auto endpoint) { return !endpoints_.IsServing(endpoint); });
   }
 
-  // ======== calls, as CallDispatcher ========
+  // ======== calls, like CallDispatcher ========
 
   void Apply(const dispatch_policy::StartHealthCheck& action) {
     calls_.AddHealthCheck(action.endpoint, last_decision_,
@@ -395,7 +396,8 @@
     }
     if (call.attempts.size() > 1) call.deadline -= CallTracker::kBatchTimeoutMargin;
     call.started_at = now;
-    // Its own look at the steady clock never ends it: the surroundings look at the virtual one.
+    // The call's own check of the steady clock never ends it: the environment checks `start_by` in
+    // virtual time.
     call.endpoint_call =
         std::make_shared<EndpointCall>(id, call.endpoint, endpoint.address, "", SteadyTime::max());
     deadlines_.Set(call.deadline, {DeadlineKind::kCallTimeout, id});
