--- a/src/forwarder/condition_recorder.cpp
+++ b/src/forwarder/condition_recorder.cpp
@@ -72,7 +72,7 @@
   std::set<dispatch_policy::EndpointId>& with_conditions =
       endpoints_with_conditions_[endpoint->entry.destination];
   const bool is_ordinary = IsOrdinary(change.condition, now) && IsOrdinary(change.own_limit, now);
-  if (is_ordinary && with_conditions.erase(change.endpoint) == 0) return;  // nothing is kept
+  if (is_ordinary && with_conditions.erase(change.endpoint) == 0) return;  // nothing is stored
   if (!is_ordinary) with_conditions.insert(change.endpoint);
   UpdateStore({.key = EndpointKey(endpoint->name),
                .recorded_at = now,
--- a/src/forwarder/condition_recorder.hpp
+++ b/src/forwarder/condition_recorder.hpp
@@ -20,7 +20,7 @@
   using Time = dispatch_policy::Time;
   using Event = dispatch_policy::Event;
 
-  // The endpoints outlive the recorder.
+  // The endpoints must outlive the recorder.
   explicit ConditionRecorder(const EndpointRegistry& endpoints) : endpoints_(endpoints) {}
 
   // If it is called at all, it must be called before all other methods. Without a store nothing is
--- a/tests/forwarder/exploration_test.cpp
+++ b/tests/forwarder/exploration_test.cpp
@@ -29,7 +29,7 @@
 
 constexpr std::uint64_t kFirstSeed = 1;
 #if defined(__SANITIZE_ADDRESS__)
-constexpr std::uint64_t kOrders = 15'000;  // with the sanitizer an order takes 7 times as long
+constexpr std::uint64_t kOrders = 15'000;  // an order takes about 7 times as long
 #else
 constexpr std::uint64_t kOrders = 100'000;
 #endif
--- a/tests/forwarder/final_answer_judge.hpp
+++ b/tests/forwarder/final_answer_judge.hpp
@@ -199,7 +199,7 @@
       case Kind::kCutsRead:
         return Exemption{};  // posts are read at once, so notifications are in time
       case Kind::kReadsLate:
-        // A new post is protected until it is read only after one of the protected posts has ended.
+        // A new post can be protected until it is read only once a protected post has ended.
         exemption.extension = 2 * trouble.delay + kRecovery;
         exemption.until += exemption.extension;
         return exemption;
--- a/tests/forwarder/virtual_forwarder.hpp
+++ b/tests/forwarder/virtual_forwarder.hpp
@@ -3,10 +3,10 @@
 // has no thread, socket or clock: the owner passes events in, provides the time, and runs rounds.
 //
 // It mirrors the engine code that connects these parts, and must be kept in step with it:
-// src/forwarder/engine.cpp (the round in Run, On, Decide, Apply, Restore, GiveUpExpired,
-// StartPosts) and the parts of src/forwarder/call_dispatcher.cpp that wait for no thread. It omits
-// logs, metrics, retries of a failing spool, and connections. A change of the order of steps there
-// must be repeated here.
+// src/forwarder/engine.cpp (the round in Run, On, Decide, Apply, Restore, GiveUpExpired),
+// NotificationPoster::StartDue, and the parts of src/forwarder/call_dispatcher.cpp that wait for no
+// thread. It omits logs, metrics, retries of a failing spool, and connections. A change of the
+// order of steps there must be repeated here.
 #ifndef BRASSFRONT_TESTS_FORWARDER_VIRTUAL_FORWARDER_HPP_
 #define BRASSFRONT_TESTS_FORWARDER_VIRTUAL_FORWARDER_HPP_
 
