--- a/src/operators/operator_server.cpp
+++ b/src/operators/operator_server.cpp
@@ -131,7 +131,7 @@
     Connection& connection = *it++;
     if (connection.deadline > now) continue;
     if (!connection.answered) {
-      Answer(connection, {kRequestTimedOut, "request timed out\n"});
+      Answer(connection, {kRequestTimedOut, "no request in time\n"});
       continue;
     }
     connections_.remove_if([&](const Connection& other) { return &other == &connection; });
