--- a/tests/forwarder/order_player.hpp
+++ b/tests/forwarder/order_player.hpp
@@ -285,7 +285,7 @@
     request.destination = step.destination;
     request.time_left = step.time;
     request.body = "body";
-    Trace(step.id + " submitted");
+    Trace(step.id + " handed in");
     forwarder_->Push(VirtualForwarder::Submission{std::move(request), step.message_class, read});
   }
 
