--- a/tests/forwarder/order_player.hpp
+++ b/tests/forwarder/order_player.hpp
@@ -1,5 +1,6 @@
-// Plays one order of events against a virtual forwarder: the clients, endpoints, discovery, agent
-// and threads around it, and its processes one after the other on the same spool.
+// Plays one order of events against a virtual forwarder: simulates the clients, endpoints,
+// discovery, agent and threads around it, and runs its processes one after the other on the same
+// spool.
 #ifndef BRASSFRONT_TESTS_FORWARDER_ORDER_PLAYER_HPP_
 #define BRASSFRONT_TESTS_FORWARDER_ORDER_PLAYER_HPP_
 
@@ -31,10 +32,10 @@
 
 namespace brassfront::exploration {
 
-class OrderPlayer : private Surroundings {
+class OrderPlayer : private Environment {
  public:
-  // The folder of `owner` is emptied of its spool. The arguments outlive the player. What happens
-  // is written to `trace`, if it is given.
+  // The spool in the folder of `owner` is deleted. The arguments must outlive the player. A log of
+  // all events is appended to `trace`, if it is given.
   OrderPlayer(const OrderOfEvents& order, FolderOwner& owner, std::string* trace = nullptr)
       : order_(order),
         owner_(owner),
@@ -43,15 +44,15 @@
         members_(order.endpoints),
         judge_(order.settings.classes.at(kKeyed).dedup_window, CountMessages(order)) {}
 
-  // Plays it until all is calm.
+  // Plays the order until nothing is left to do.
   [[nodiscard]] Verdict Play() {
     std::remove((owner_.folder() + "/spool").c_str());
     for (const Step& step : order_.steps) {
       std::visit([this](const auto& alternative) { Prepare(alternative); }, step);
     }
     StartProcess({.ready = Millis(0), .first_list = Millis(5)});
-    while (!IsCalm() && now_ < end_ && rounds_ < kMaxRounds) RunNext();
-    CheckCalm();
+    while (!IsIdle() && now_ < end_ && rounds_ < kMaxRounds) RunNext();
+    CheckIdle();
     return judge_.Finish();
   }
 
@@ -60,20 +61,20 @@
   using Function = std::function<void(Time)>;
 
   static constexpr Time kStart = std::chrono::seconds(100);
-  static constexpr Time kRoundTime = std::chrono::microseconds(20);  // that a round takes
+  static constexpr Time kRoundTime = std::chrono::microseconds(20);  // duration of a round
   static constexpr Time kHopTime = std::chrono::microseconds(200);   // between threads and peers
   static constexpr std::size_t kMaxRounds = 200'000;
-  static constexpr Millis kSettlingTime{20'000};  // behind the last step and deadline
-  static constexpr Millis kClientPatience{400};   // of the protocol page
-  static constexpr Millis kKillAfterTerm{3700};   // of the protocol page
+  static constexpr Millis kSettlingTime{20'000};     // after the last step and deadline
+  static constexpr Millis kClientReplyTimeout{400};  // from the protocol page
+  static constexpr Millis kKillAfterTerm{3700};      // from the protocol page
   static constexpr Millis kHealthCheckTime{5};
 
-  // Something outside of the forwarder's loop that happens at its time.
-  struct Happening {
+  // An event outside the forwarder's loop, and its time.
+  struct ScheduledEvent {
     Time at{};
     std::uint64_t number = 0;
     Function function;
-    friend bool operator<(const Happening& left, const Happening& right) {
+    friend bool operator<(const ScheduledEvent& left, const ScheduledEvent& right) {
       return std::tie(right.at, right.number) < std::tie(left.at, left.number);
     }
   };
@@ -81,7 +82,7 @@
     std::shared_ptr<EndpointCall> call;
     std::vector<std::string> ids;
     Time start_by{};
-    std::vector<Answer> answers;  // of each message; the first says how the call fares
+    std::vector<Answer> answers;  // one per message; the first one determines the call's outcome
     bool written = false;
     Time written_at{};
   };
@@ -116,9 +117,10 @@
   [[nodiscard]] Time Now() const override { return now_; }
 
   void At(Time at, Function function) {
-    happenings_.push({at, next_number_++, std::move(function)});
+    scheduled_events_.push({at, next_number_++, std::move(function)});
   }
-  // In a thread of the present process, if that lives then; later if it is held up.
+  // Runs the function in a thread of the current process, unless that has ended by then. The
+  // function runs later if the process is stalled.
   void InProcess(Time at, Function function) {
     At(at, [this, process = process_, function = std::move(function)](Time when) {
       if (process != process_ || !forwarder_) return;
@@ -126,17 +128,17 @@
       function(std::max(when, now_));
     });
   }
-  void Until(Time at) { end_ = std::max(end_, at + kSettlingTime); }
+  void ExtendEnd(Time at) { end_ = std::max(end_, at + kSettlingTime); }
 
-  // The next happening or round of the loop, whichever is first.
+  // Runs the next scheduled event or the next round of the loop, whichever is earlier.
   void RunNext() {
     Time round_at = Time::max();
     if (forwarder_) round_at = std::max({forwarder_->NextRoundAt(), held_until_, now_});
-    if (!happenings_.empty() && happenings_.top().at <= round_at) {
-      const Happening happening = happenings_.top();
-      happenings_.pop();
-      now_ = std::max(now_, happening.at);
-      return happening.function(happening.at);
+    if (!scheduled_events_.empty() && scheduled_events_.top().at <= round_at) {
+      const ScheduledEvent event = scheduled_events_.top();
+      scheduled_events_.pop();
+      now_ = std::max(now_, event.at);
+      return event.function(event.at);
     }
     if (round_at == Time::max()) {
       now_ = end_;
@@ -154,7 +156,7 @@
     if (hold_up_within_ <= Millis(0)) return;
     const Time until = now_ + std::exchange(hold_up_within_, Millis(0));
     judge_.OnHeldUp(now_, until);
-    Trace("held up within a decision");
+    Trace("stalled within a decision");
     now_ = until;
   }
 
@@ -167,33 +169,33 @@
   // ======== steps ========
 
   void Prepare(const Submit& step) {
-    Until(kStart + step.at + step.time);
+    ExtendEnd(kStart + step.at + step.time);
     submits_[step.id] = &step;
     At(kStart + step.at, [this, &step](Time at) {
       judge_.OnSubmitted(step, at);
       At(at + step.transit, [this, &step](Time arrived) {
         if (!forwarder_ || arrived < ready_at_) return;  // no connection
-        InProcess(arrived, [this, &step](Time read) { HandIn(step, read); });
+        InProcess(arrived, [this, &step](Time read) { SubmitRequest(step, read); });
       });
     });
   }
 
   void Prepare(const ChangeEndpoint& step) {
-    Until(kStart + step.at + step.delay);
+    ExtendEnd(kStart + step.at + step.delay);
     At(kStart + step.at, [this, &step](Time at) {
       Member& member = members_.at(step.endpoint);
       member.phase = step.phase;
-      last_told_ = std::max(last_told_, at + step.delay);  // the stream keeps the order
-      At(last_told_, [this, change = Change{member, ++revision_}](Time) {
+      last_list_at_ = std::max(last_list_at_, at + step.delay);  // the stream keeps the order
+      At(last_list_at_, [this, change = Change{member, ++revision_}](Time) {
         if (!forwarder_ || !watch_is_open_) return;
-        Trace("list told");
+        Trace("list sent");
         forwarder_->Push(MemberList{.revision = change.revision, .members = {change.member}});
       });
     });
   }
 
   void Prepare(const AgentTrouble& step) {
-    Until(kStart + step.until);
+    ExtendEnd(kStart + step.until);
     troubles_.Add(step);
     judge_.AddTrouble(step, kStart + step.at, kStart + step.until);
     if (step.kind != AgentTrouble::Kind::kMoved) return;
@@ -203,7 +205,7 @@
   }
 
   void Prepare(const HoldUp& step) {
-    Until(kStart + step.at);
+    ExtendEnd(kStart + step.at);
     At(kStart + step.at, [this, &step](Time at) {
       if (step.within_decision) {
         hold_up_within_ = step.duration;
@@ -215,7 +217,7 @@
   }
 
   void Prepare(const Restart& step) {
-    Until(kStart + step.at + kKillAfterTerm + step.down + step.ready);
+    ExtendEnd(kStart + step.at + kKillAfterTerm + step.down + step.ready);
     At(kStart + step.at, [this, &step](Time at) {
       if (!forwarder_ || shutting_down_) return;
       judge_.OnRestart(at);
@@ -239,8 +241,8 @@
     ++process_;
     spool_.emplace(owner_, kSpoolBytes,
                    [this](const std::string& line) { judge_.Report("spool", line, now_); });
-    auto& surroundings = static_cast<Surroundings&>(*this);
-    forwarder_.emplace(config_, *spool_, surroundings, now_ + step.exclusions_known);
+    auto& environment = static_cast<Environment&>(*this);
+    forwarder_.emplace(config_, *spool_, environment, now_ + step.exclusions_known);
     Trace("process started, " + std::to_string(spool_->open_messages()) + " messages open");
     forwarder_->Restore();
     EndStoppedCalls();
@@ -249,7 +251,7 @@
     At(now_ + step.first_list, [this, process = process_](Time) {
       if (process != process_ || !forwarder_) return;
       watch_is_open_ = true;
-      Trace("whole list told");
+      Trace("complete list sent");
       forwarder_->Push(MemberList{.revision = revision_, .complete = true, .members = members_});
     });
   }
@@ -272,9 +274,9 @@
 
   // ======== clients ========
 
-  void HandIn(const Submit& step, Time read) {
+  void SubmitRequest(const Submit& step, Time read) {
     judge_.OnRequestRead(step.id, read);
-    if (!forwarder_->KnowsDestination(step.destination)) return Trace(step.id + " refused unread");
+    if (!forwarder_->KnowsDestination(step.destination)) return Trace(step.id + " rejected unread");
     DeliveryRequest request;
     request.id = step.id;
     request.key = step.message_class == kKeyed ? "key-" + step.id : "";
@@ -290,9 +292,9 @@
   void OnAccepted(MessageId message, const std::string& client_id) override {
     const Submit& step = *submits_.at(client_id);
     InProcess(now_ + kHopTime, [this, &step, message](Time at) {
-      const bool left = at > kStart + step.at + kClientPatience;
+      const bool left = at > kStart + step.at + kClientReplyTimeout;
       if (left || step.client == Submit::Client::kLeavesBeforeReply) {
-        Trace(step.id + " cancelled: its client has gone");
+        Trace(step.id + " cancelled: its client has disconnected");
         return forwarder_->Push(VirtualForwarder::ClientDisconnected{message});
       }
       Trace(step.id + " accepted");
@@ -301,7 +303,7 @@
     });
   }
 
-  void OnRefused(const std::string& client_id) override { Trace(client_id + " refused"); }
+  void OnRefused(const std::string& client_id) override { Trace(client_id + " rejected"); }
 
   // ======== endpoints ========
 
@@ -328,7 +330,7 @@
     return taken < answers.size() ? answers[taken] : Answer{};
   }
 
-  // The thread of the call has its connection, or could not get one.
+  // Called when the call's thread has its connection, or could not get one.
   void Write(std::uint64_t id) {
     const auto it = calls_.find(id);
     if (it == calls_.end()) return;
@@ -377,10 +379,10 @@
     Finish(id, std::move(result));
   }
 
-  // A batch's answer with an end for each message.
+  // Returns a batch's answer with a state for each message.
   [[nodiscard]] EndpointCallResult AnswerEach(std::uint64_t id, const RunningCall& running,
                                               EndpointCallResult result, Time at) {
-    // Nothing of a call counts that outlasts one of its messages.
+    // Nothing of a call counts that completes after one of its messages ended.
     const bool counts =
         std::none_of(running.ids.begin(), running.ids.end(), [&](const std::string& message) {
           return judge_.EndedWithin(message, running.written_at, at);
@@ -401,7 +403,7 @@
     if (running.written) judge_.OnCallEnded(id, message, ran, at.value_or(now_));
   }
 
-  // Calls that the forwarder has stopped since its last round.
+  // Ends the calls that the forwarder has stopped since its last round.
   void EndStoppedCalls() {
     std::vector<std::uint64_t> stopped;
     for (const auto& [id, running] : calls_) {
@@ -437,7 +439,7 @@
   void StartPost(std::uint64_t post, std::string body) override {
     open_posts_.insert(post);
     At(now_ + kHopTime, [this, process = process_, post, body = std::move(body)](Time at) {
-      if (process == process_) TakePost(post, body, at);
+      if (process == process_) ReceivePost(post, body, at);
     });
   }
   void AbandonPost(std::uint64_t post) override { open_posts_.erase(post); }
@@ -447,7 +449,7 @@
     }
   }
 
-  void TakePost(std::uint64_t post, const std::string& body, Time at) {
+  void ReceivePost(std::uint64_t post, const std::string& body, Time at) {
     using Kind = AgentTrouble::Kind;
     if (open_posts_.count(post) == 0) return;
     const AgentTrouble* trouble = troubles_.At(at - kStart);
@@ -468,14 +470,15 @@
       case Kind::kError:
         return EndPost(post, at + trouble->delay, 500, {});
       case Kind::kRejects:
-        if (!HoldsAny(body, trouble->rejected)) return EndPost(post, at, kHttpNoContent, body);
+        if (!ContainsAny(body, trouble->rejected)) return EndPost(post, at, kHttpNoContent, body);
         return EndPost(post, at + trouble->delay, 400, {});
       default:  // refused
         return EndPost(post, at, 0, {});
     }
   }
 
-  // What is read then counts, if the post is still open. One that takes too long is closed before.
+  // Ends the post at that time. If it is still open then, the lines of `read` count as read. A post
+  // that exceeds the answer timeout is closed before.
   void EndPost(std::uint64_t post, Time at, int status, std::string read) {
     const Time latest = now_ + NotificationClient::kAnswerTimeout;
     if (at > latest) return EndPost(post, latest, 0, {});
@@ -501,8 +504,8 @@
 
   // ======== the end ========
 
-  [[nodiscard]] bool IsCalm() {
-    return happenings_.empty() && forwarder_ && forwarder_->messages().size() == 0 &&
+  [[nodiscard]] bool IsIdle() {
+    return scheduled_events_.empty() && forwarder_ && forwarder_->messages().size() == 0 &&
            calls_.empty() && forwarder_->NextRoundAt() > now_;
   }
 
@@ -511,17 +514,17 @@
     if (!totals.Balances(spool_->open_messages())) judge_.Report("accounting", "totals", now_);
   }
 
-  void CheckCalm() {
+  void CheckIdle() {
     if (rounds_ >= kMaxRounds) judge_.Report("livelock", "rounds without an end", now_);
     if (!forwarder_) return judge_.Report("open", "no process at the end", now_);
     CheckTotals();
     const std::size_t open = forwarder_->messages().size() + spool_->open_messages() +
                              forwarder_->messages().final_answers().open() + calls_.size();
-    if (open > 0) judge_.Report("open", std::to_string(open) + " things left", now_);
+    if (open > 0) judge_.Report("open", std::to_string(open) + " items left", now_);
     CheckStoredEnds();
   }
 
-  // Each message that was accepted is finished once.
+  // Checks that each accepted message is finished exactly once.
   void CheckStoredEnds() {
     for (const auto& [number, count] : CountStoredEnds(owner_.folder())) {
       if (count == 1) continue;
@@ -537,16 +540,16 @@
   FolderOwner& owner_;
   std::string* const trace_;
   const Config config_;
-  std::vector<Member> members_;  // as discovery has them
+  std::vector<Member> members_;  // discovery's current state
   FinalAnswerJudge judge_;
 
   Time now_ = kStart;
   Time end_ = kStart + kSettlingTime;
   std::size_t rounds_ = 0;
-  std::priority_queue<Happening> happenings_;
+  std::priority_queue<ScheduledEvent> scheduled_events_;
   std::uint64_t next_number_ = 0;
   Time held_until_{};
-  Millis hold_up_within_{};  // of the next decision
+  Millis hold_up_within_{};  // stall within the next decision
 
   std::uint64_t process_ = 0;  // changes with each start and end
   std::optional<Spool> spool_;
@@ -557,7 +560,7 @@
   std::map<std::string, const Submit*> submits_;
   std::map<std::string, std::size_t> answers_taken_;
   std::uint64_t revision_ = 1;
-  Time last_told_{};
+  Time last_list_at_{};
   bool watch_is_open_ = false;
   std::map<std::uint64_t, RunningCall> calls_;
   std::uint64_t next_call_ = 0;
