--- a/src/acceptance/message_acceptor.hpp
+++ b/src/acceptance/message_acceptor.hpp
@@ -12,18 +12,18 @@
 
 namespace brassfront {
 
-// The decision on one request, and what its client is told.
+// The decision on one request, and the details of the reply to its client.
 struct SubmitResult {
   enum class Status { kAccepted, kRejected, kInvalid };
   Status status = Status::kRejected;
-  std::optional<std::chrono::milliseconds> retry_after;  // with kRejected
-  std::string error;                                     // with kInvalid, for people
-  bool unknown_destination = false;  // with kRejected: no endpoint list names its destination
-  // With kAccepted: the id for OnAcknowledged and OnClientDisconnected. Not the client's id, which
-  // another client may have chosen as well.
+  std::optional<std::chrono::milliseconds> retry_after;  // only with kRejected
+  std::string error;                                     // only with kInvalid, for human readers
+  bool unknown_destination = false;                      // with kRejected: no endpoint list has it
+  // Only with kAccepted: the engine's id of the message, for OnAcknowledged and
+  // OnClientDisconnected. It differs from the client's id, which another client may use too.
   std::uint64_t message = 0;
 
-  // Rounded up to milliseconds; 0: the client is not told when to come back.
+  // Rounds `retry_after` up to milliseconds; with 0 the reply has no retry time.
   [[nodiscard]] static SubmitResult Rejected(std::chrono::nanoseconds retry_after) {
     SubmitResult answer;
     if (retry_after.count() > 0) {
@@ -44,12 +44,12 @@
   MessageAcceptor& operator=(const MessageAcceptor&) = delete;
   virtual ~MessageAcceptor() = default;
 
-  // Blocks until the engine has decided. An accepted request is recorded in the spool, and one of
-  // OnAcknowledged and OnClientDisconnected must follow.
+  // Blocks until the engine has decided. An accepted request has been recorded in the spool, and
+  // the caller must then call either OnAcknowledged or OnClientDisconnected.
   [[nodiscard]] virtual SubmitResult Submit(DeliveryRequest request) = 0;
-  // The client was told that its request is accepted: attempts may start.
+  // The client was sent the reply that its request is accepted: attempts may start.
   virtual void OnAcknowledged(std::uint64_t message) = 0;
-  // The client disconnected before it could be told: the message is cancelled.
+  // The client disconnected before it got the reply: the message is cancelled.
   virtual void OnClientDisconnected(std::uint64_t message) = 0;
 };
 
--- a/src/concurrency/bounded_queue.hpp
+++ b/src/concurrency/bounded_queue.hpp
@@ -12,14 +12,14 @@
 
 namespace brassfront {
 
-// First in, first out. Writers wait while it is full, readers while it is empty. Any thread may
-// call any method.
+// A FIFO queue. Writers wait while it is full, readers while it is empty. Any thread may call any
+// method.
 template <typename T>
 class BoundedQueue {
  public:
   explicit BoundedQueue(std::size_t capacity) : capacity_(capacity) {}
 
-  // Waits while the queue is full. False if it is closed: the value is dropped.
+  // Waits while the queue is full. Returns false, and drops the value, if the queue is closed.
   bool Push(T value) {
     std::unique_lock lock(mutex_);
     not_full_.wait(lock, [this] { return closed_ || values_.size() < capacity_; });
@@ -30,7 +30,8 @@
     return true;
   }
 
-  // Never waits: a few urgent values may go beyond the capacity. False if the queue is closed.
+  // Never waits, and ignores the capacity; for a few urgent values. Returns false if the queue is
+  // closed.
   bool PushBeyondCapacity(T value) {
     {
       const std::lock_guard lock(mutex_);
@@ -41,21 +42,22 @@
     return true;
   }
 
-  // Nothing if the time came first, or if the queue is closed and empty.
+  // Waits for a value until `time`. Returns nothing on a timeout, or if the queue is closed and
+  // empty.
   std::optional<T> PopUntil(std::chrono::steady_clock::time_point time) {
     std::unique_lock lock(mutex_);
     not_empty_.wait_until(lock, time, [this] { return closed_ || !values_.empty(); });
     return PopFront(lock);
   }
 
-  // Waits for as long as it takes. Nothing if the queue is closed and empty.
+  // Waits without a time limit. Returns nothing if the queue is closed and empty.
   std::optional<T> Pop() {
     std::unique_lock lock(mutex_);
     not_empty_.wait(lock, [this] { return closed_ || !values_.empty(); });
     return PopFront(lock);
   }
 
-  // From now on nothing is pushed; what the queue holds can still be popped.
+  // Rejects further pushes; the values that are already queued can still be popped.
   void Close() {
     {
       const std::lock_guard lock(mutex_);
@@ -66,7 +68,7 @@
   }
 
  private:
-  // Releases the lock.
+  // The caller must hold the lock, which this releases if it returns a value.
   std::optional<T> PopFront(std::unique_lock<std::mutex>& lock) {
     if (values_.empty()) return std::nullopt;
     std::optional<T> value(std::move(values_.front()));
@@ -77,16 +79,17 @@
   }
 
   const std::size_t capacity_;
-  std::mutex mutex_;  // guards what follows
+  std::mutex mutex_;  // guards the members below
   std::condition_variable not_full_;
   std::condition_variable not_empty_;
   std::deque<T> values_;
   bool closed_ = false;
 };
 
-// Waits for a value until `due()`, then handles what the queue holds, until it is empty or `due()`
-// has come. `due` is called anew after each value, which may bring that time forward. The bound
-// lets the caller do its other work though the queue is filled as fast as it is emptied.
+// Waits for a value until the time `due()`, then handles the queued values until the queue is empty
+// or that time has passed. `due` is called again after each value, because handling a value may
+// make that time earlier. The time limit lets the caller do its other work even if the queue is
+// filled as fast as it is emptied.
 template <typename T, typename Due, typename Clock, typename Handle>
 void DrainUntil(BoundedQueue<T>& queue, Due due, Clock now, Handle handle) {
   auto value = queue.PopUntil(due());
--- a/src/concurrency/thread.hpp
+++ b/src/concurrency/thread.hpp
@@ -1,4 +1,4 @@
-// Threads with small stacks, as std::thread offers no choice of their size.
+// Threads with small stacks; std::thread has no option for the stack size.
 #ifndef BRASSFRONT_CONCURRENCY_THREAD_HPP_
 #define BRASSFRONT_CONCURRENCY_THREAD_HPP_
 
@@ -15,30 +15,30 @@
 
 namespace brassfront {
 
-// Owns a running thread and joins it at its end. For one thread at a time.
+// Owns a running thread and joins it in the destructor. Not thread-safe.
 class Thread {
  public:
-  // The network and integration tests pass with 32 KiB in a Release build; the sanitizers need
-  // more. The deepest path is a discovery line through the JSON reader, which is bounded; large
-  // data is on the heap or in pooled buffers. With the usual 8 MiB, 300 threads would reserve 2.4
-  // GB.
+  // 32 KiB are enough for the network and integration tests in a Release build; the sanitizers need
+  // more. The deepest call path is the JSON parser on a discovery list, and its nesting depth is
+  // limited; large data is on the heap or in pooled buffers. With the usual 8 MiB, 300 threads
+  // would reserve 2.4 GB.
   static constexpr std::size_t kStackBytes = std::size_t{128} * 1024;
 
-  // No thread.
+  // Constructs an object without a thread.
   Thread() = default;
-  // Starts a thread without which the process is of no use: waits out a shortage of threads for as
-  // long as a start may take. Throws std::runtime_error then.
+  // Starts a thread that the process cannot work without. Retries while the system is short of
+  // threads, for as long as a start may take, and then throws std::runtime_error.
   [[nodiscard]] static Thread Require(const char* name, const std::function<void()>& body) {
     Thread thread;
     const bool started = RetryAtStart(SystemCall::kStartThread, [&] {
       thread = Thread(name, body);
       return thread.started();
     });
-    if (!started) throw std::runtime_error("no room for a thread");
+    if (!started) throw std::runtime_error("the system can't start a thread");
     return thread;
   }
-  // Starts a thread that runs the body; if the system can't start it, errno tells why. The system's
-  // tools show the name, up to 15 bytes of it.
+  // Starts a thread that runs `body`; if the system can't start it, started() is false and errno is
+  // set. System tools show the first 15 bytes of the name.
   Thread(const char* name, std::function<void()> body) {
     auto owned_body = std::make_unique<std::function<void()>>(std::move(body));
     pthread_attr_t attributes;
@@ -61,9 +61,9 @@
     return *this;
   }
 
-  // False if the system could not start it, and once it has been joined.
+  // False if there is no thread: the system could not start it, or it has been joined.
   [[nodiscard]] bool started() const { return started_; }
-  // Waits until the body has returned; at once if there is no thread.
+  // Waits until the body has returned. Returns immediately if there is no thread.
   void Join() {
     if (std::exchange(started_, false)) pthread_join(thread_, nullptr);
   }
--- a/src/concurrency/thread_pool.hpp
+++ b/src/concurrency/thread_pool.hpp
@@ -1,4 +1,4 @@
-// A pool of small-stack threads that grows with the work and shrinks when it has been idle.
+// A pool of threads with small stacks that grows with the work and shrinks when threads are idle.
 #ifndef BRASSFRONT_CONCURRENCY_THREAD_POOL_HPP_
 #define BRASSFRONT_CONCURRENCY_THREAD_POOL_HPP_
 
@@ -16,30 +16,30 @@
 
 namespace brassfront {
 
-// Hands each value to one of its threads. The number of threads follows the work at hand: on some
-// platforms a process is held to its share of a core by stopping and resuming it, and each waiting
-// thread makes that cost time which the working ones lose.
+// Passes each value to one of its threads. The number of threads follows the amount of work: some
+// platforms limit a process to its share of a core by stopping and resuming it, and each idle
+// thread makes that take longer, at the expense of the busy threads.
 template <typename T>
 class ThreadPool {
  public:
   struct Size {
-    std::size_t min_threads = 1;  // kept, however idle
+    std::size_t min_threads = 1;  // kept even when idle
     std::size_t max_threads = 1;
-    // After which an idle thread beyond the minimum ends.
+    // How long a thread beyond the minimum may be idle before it ends.
     std::chrono::milliseconds idle_timeout{2000};
   };
 
-  // The threads call `handler`, several at once. Throws std::runtime_error if the system can't
-  // start a single thread.
+  // The threads call `handler` concurrently. Throws std::runtime_error if the system can't start
+  // even one thread.
   ThreadPool(const char* name, const Size& size, std::function<void(T)> handler)
       : name_(name), size_(size), handler_(std::move(handler)) {
     const std::lock_guard lock(mutex_);
     const bool started = RetryAtStart(SystemCall::kStartThread, [this] { return StartThread(); });
-    if (!started) throw std::runtime_error("no room for a thread");
+    if (!started) throw std::runtime_error("the system can't start a thread");
     while (workers_.size() < size_.min_threads && StartThread()) {
     }
   }
-  // Returns once all values have been handled.
+  // Waits until all values have been handled.
   ~ThreadPool() {
     {
       const std::lock_guard lock(mutex_);
@@ -49,8 +49,8 @@
     for (Worker& worker : workers_) worker.thread.Join();
   }
 
-  // Any thread may call this. Never waits. If the system can't start a further thread, the others
-  // take over the work.
+  // Any thread may call this. Never waits. If the system can't start another thread, the existing
+  // ones do the work.
   void Submit(T value) {
     {
       const std::lock_guard lock(mutex_);
@@ -61,7 +61,7 @@
     not_empty_.notify_one();
   }
 
-  // Threads that are running now.
+  // Returns the number of threads that are running now.
   [[nodiscard]] std::size_t threads() const {
     const std::lock_guard lock(mutex_);
     return RunningThreads();
@@ -73,7 +73,7 @@
     bool finished = false;  // to be joined by the next Submit
   };
 
-  // With the mutex held.
+  // The caller must hold the mutex.
   bool StartThread() {
     Worker& worker = workers_.emplace_back();
     worker.thread = Thread(name_, [this, &worker] { Serve(worker); });
@@ -84,7 +84,7 @@
     return false;
   }
 
-  // The body of a thread; takes the mutex itself.
+  // The body of a thread; it locks the mutex itself.
   void Serve(Worker& worker) {
     std::unique_lock lock(mutex_);
     while (true) {
@@ -108,7 +108,7 @@
     }
   }
 
-  // With the mutex held.
+  // The caller must hold the mutex.
   std::size_t RunningThreads() const {
     std::size_t count = 0;
     for (const Worker& worker : workers_) count += worker.finished ? 0 : 1;
@@ -118,7 +118,7 @@
   const char* const name_;
   const Size size_;
   const std::function<void(T)> handler_;
-  mutable std::mutex mutex_;  // guards what follows
+  mutable std::mutex mutex_;  // guards the members below
   std::condition_variable not_empty_;
   std::deque<T> queue_;
   std::list<Worker> workers_;
--- a/src/net/backoff.hpp
+++ b/src/net/backoff.hpp
@@ -9,25 +9,26 @@
 
 namespace brassfront {
 
-// The delay doubles with each failure in a row and is spread over half to one and a half of its
-// length, so that many clients that failed at one moment return one after the other. Without the
-// spread, all of them would return to an overloaded service at once, again and again.
+// The delay doubles with each consecutive failure. Jitter spreads it over 0.5 to 1.5 times its
+// length, so that many clients that failed at the same moment retry at different times. Without
+// jitter, all of them would repeatedly retry an overloaded service at once.
 class Backoff {
  public:
   using Duration = std::chrono::milliseconds;
 
-  // `initial` and `max_delay` are means; a maximum below the initial delay counts as equal to it.
+  // `initial` and `max_delay` are mean delays, before jitter. A maximum below the initial delay is
+  // raised to it.
   Backoff(Duration initial, Duration max_delay, std::uint64_t seed)
       : initial_(initial), max_(std::max(initial, max_delay)), next_(initial), random_(seed) {}
 
-  // After a failure: how long to wait, spread included, and never longer than `limit`.
+  // Called after a failure. Returns the delay with jitter, never longer than `limit`.
   Duration NextDelay(Duration limit = Duration::max()) {
-    // Two thirds of the limit, as the spread adds up to a half.
+    // At most two thirds of the limit, because jitter adds up to one half.
     const Duration mean = std::min(next_, limit - limit / 3);
     next_ = std::min(max_, 2 * next_);
     return mean / 2 + RandomUpTo(mean);
   }
-  // After a success: the next failure counts as the first one again.
+  // Called after a success: the next failure counts as the first one again.
   void Reset() { next_ = initial_; }
 
  private:
--- a/src/net/buffer_pool.hpp
+++ b/src/net/buffer_pool.hpp
@@ -1,4 +1,4 @@
-// Buffers of one size for reading from sockets, reused by all threads.
+// Buffers of a fixed size for reading from sockets, shared by all threads.
 #ifndef BRASSFRONT_NET_BUFFER_POOL_HPP_
 #define BRASSFRONT_NET_BUFFER_POOL_HPP_
 
@@ -12,14 +12,14 @@
 
 namespace brassfront {
 
-// Any thread may use it. It must outlive its buffers. A thread holds a buffer for one read and what
-// follows from it, so the pool never holds more buffers than there are threads.
+// Thread-safe. The pool must outlive its buffers. A thread uses one buffer at a time, to read and
+// to process what it has read, so there are never more buffers than threads.
 class BufferPool {
  public:
   static constexpr std::size_t kBytes = std::size_t{16} * 1024;
   using Block = std::array<char, kBytes>;
 
-  // A buffer that returns to its pool at the end of its scope.
+  // Returns the buffer to its pool when destroyed.
   class Buffer {
    public:
     Buffer(BufferPool& pool, std::unique_ptr<Block> block)
@@ -28,7 +28,7 @@
     Buffer(const Buffer&) = delete;
     Buffer& operator=(const Buffer&) = delete;
 
-    // What it holds is undefined until it is written.
+    // The contents are undefined until written.
     [[nodiscard]] std::span<char> span() { return *block_; }
 
    private:
@@ -55,7 +55,7 @@
     free_.push_back(std::move(block));
   }
 
-  std::mutex mutex_;  // guards what follows
+  std::mutex mutex_;  // guards the members below
   std::vector<std::unique_ptr<Block>> free_;
 };
 
--- a/src/net/client_commands.cpp
+++ b/src/net/client_commands.cpp
@@ -9,13 +9,13 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kReplyTimeout{500};  // a client that does not read holds a worker so long
-// Replies to pipelined commands are collected up to this size: one system call in place of
-// hundreds.
+constexpr milliseconds kReplyTimeout{500};  // how long a client that does not read may block a worker
+// Replies to pipelined commands are collected up to this size, so that one system call writes
+// hundreds of them.
 constexpr std::size_t kMaxPendingReplyBytes = std::size_t{16} * 1024;
 constexpr const char* kStandbyRetryAfterMs = "1000";
 
-// False if the client could not be reached in time.
+// Returns false if the replies could not be written in time.
 bool FlushReplies(ClientConnection& connection) {
   if (connection.pending_replies.empty()) return true;
   const std::string replies = std::exchange(connection.pending_replies, {});
@@ -33,7 +33,7 @@
   return CloseReason::kReset;
 }
 
-// Only ASCII: command names are.
+// Converts ASCII letters only; command names are ASCII.
 std::string ToUpper(std::string text) {
   for (char& letter : text) {
     if (letter >= 'a' && letter <= 'z') letter = static_cast<char>(letter - 'a' + 'A');
@@ -113,9 +113,10 @@
   return Acknowledge(connection, result.message);
 }
 
-// A client that has closed meanwhile may submit the message again under a new id, so this one must
-// not be delivered. A client that has only ended its sending looks the same and still reads: it is
-// told that the message is rejected. The reply is written at once: the message waits for it.
+// A client that has closed its connection in the meantime may submit the message again with a new
+// id, so this message must not be delivered. A client that has only shut down its sending side
+// looks the same but still reads, so it is sent a rejection. The reply is written immediately,
+// because delivery does not start before it.
 std::optional<CloseReason> ClientCommands::Acknowledge(ClientConnection& connection,
                                                        std::uint64_t message) const {
   const bool accepted = !connection.socket.PeerHasEnded();
--- a/src/net/client_commands.hpp
+++ b/src/net/client_commands.hpp
@@ -16,22 +16,23 @@
 
 namespace brassfront {
 
-// Used by many workers at once, each with a connection that is in the state kServing. It holds
-// nothing of a connection; acceptor and standby must outlive it.
+// Used by many workers concurrently, each with a connection in the state kServing. It has no state
+// per connection. The acceptor and the standby switch must outlive it.
 class ClientCommands {
  public:
-  // In standby, how long MSG.PUT is still accepted: clients that do not look for a healthy
-  // forwarder first learn of the standby from PING or from the close of their connection meanwhile.
+  // How long MSG.PUT is still accepted after standby begins. Within this time, clients that do not
+  // look for a healthy forwarder first learn of the standby from PING or because their connection
+  // is closed.
   static constexpr std::chrono::milliseconds kAcceptedInStandby{1000};
 
-  // After `max_consecutive_invalid` invalid commands in a row a connection is to be closed.
+  // A connection is to be closed after `max_consecutive_invalid` consecutive invalid commands.
   ClientCommands(MessageAcceptor& acceptor, const StandbySwitch& standby,
                  std::size_t max_consecutive_invalid)
       : acceptor_(acceptor), standby_(standby), max_consecutive_invalid_(max_consecutive_invalid) {}
 
-  // Executes the complete commands that the connection's reader holds, in order, and writes their
-  // replies. May block: the acceptor decides on each message. Returns why the connection is to be
-  // closed, or nothing if it stays open.
+  // Executes, in order, the complete commands that the connection's reader has parsed, and writes
+  // their replies. May block, because the acceptor decides on each message. Returns why the
+  // connection is to be closed, or nothing if it stays open.
   [[nodiscard]] std::optional<CloseReason> ExecutePending(ClientConnection& connection) const;
 
  private:
--- a/src/net/client_connection_table.hpp
+++ b/src/net/client_connection_table.hpp
@@ -1,5 +1,6 @@
-// All connections of clients, and which of them is to be closed next: at its deadline, or to make
-// way for others. No I/O, no clock, no lock: ClientServer calls it with its mutex held.
+// All client connections, and the choice of the one to be closed next: because of its deadline, or
+// to make room for others. No I/O, no clock, no lock: ClientServer calls it while holding its
+// mutex.
 #ifndef BRASSFRONT_NET_CLIENT_CONNECTION_TABLE_HPP_
 #define BRASSFRONT_NET_CLIENT_CONNECTION_TABLE_HPP_
 
@@ -19,7 +20,7 @@
 
 class ClientConnectionTable {
  public:
-  // When an idle connection may be closed in favour of others.
+  // When an idle connection may be closed to make room for others.
   struct EvictionLimits {
     std::size_t max_idle = SIZE_MAX;  // connections that have submitted a message
     std::chrono::milliseconds min_idle_before_first_message{0};
@@ -30,37 +31,42 @@
 
   [[nodiscard]] std::size_t size() const { return connections_.size(); }
   [[nodiscard]] bool empty() const { return connections_.empty(); }
-  // Those in the orders of idle connections: scheduled, and between two commands or before one.
+  // Returns the number of scheduled connections that wait for their first command or are between
+  // two commands.
   [[nodiscard]] std::size_t idle_connections() const;
 
-  // Takes the connection over. It is not scheduled yet. The reference is valid until Remove.
+  // Takes ownership of the socket. Does not schedule the connection. The reference is valid until
+  // Remove.
   ClientConnection& Add(Socket socket, SteadyTime now);
-  // Null if it has been removed.
+  // Returns null if the connection has been removed.
   [[nodiscard]] ClientConnection* Find(ClientConnectionId id);
   // Unschedules the connection and destroys it, which closes its socket.
   void Remove(ClientConnection& connection);
 
-  // Enters the connection in the orders below, as its state and its message history say. What they
-  // depend on may change only while it is not scheduled: unschedule it first.
+  // Inserts the connection into the orders below that match its state and whether it has submitted
+  // a message. Unschedule it before changing any of its members that the orders depend on.
   void Schedule(ClientConnection& connection, SteadyTime deadline);
-  // Takes it out of them, as for a worker. Harmless if it is not in them.
+  // Removes the connection from the orders, for instance while a worker serves it. No effect if it
+  // is in none of them.
   void Unschedule(ClientConnection& connection);
 
-  // Each returns null if there is none such.
-  // A scheduled connection whose deadline has come; the earliest first.
+  // The functions below return null if there is no such connection.
+  // The scheduled connection with the earliest deadline, if that has passed.
   [[nodiscard]] ClientConnection* FindExpired(SteadyTime now);
-  // The lingering connection that has been closing for the longest time.
+  // The lingering connection whose close began first.
   [[nodiscard]] ClientConnection* FindOldestLingering();
-  // The idle connection whose loss is the least, to make way for a new one: the longest idle of
-  // those that have submitted no message, so that clients that connect and send nothing can't lock
-  // others out; else the longest idle of all. None that has been idle for less than its minimum.
+  // The idle connection to be closed to make room for a new one: the longest idle connection that
+  // has submitted no message, so that clients that connect and send nothing can't lock others out;
+  // otherwise the longest idle connection. Connections that have been idle for less than their
+  // minimum are not evicted.
   [[nodiscard]] ClientConnection* FindEvictable(SteadyTime now);
-  // The longest idle connection that has submitted a message, if there are more such than max_idle.
+  // The longest idle connection that has submitted a message, if more than max_idle of these are
+  // idle.
   [[nodiscard]] ClientConnection* FindExcessIdle(SteadyTime now);
 
-  // Those in the state kReading that wait between two commands, in no order.
+  // Returns the ids of connections in the state kReading that are between two commands, unordered.
   [[nodiscard]] std::vector<ClientConnectionId> IdsBetweenCommands() const;
-  // Those that are not being served, in no order.
+  // Returns the ids of connections that are not in the state kServing, unordered.
   [[nodiscard]] std::vector<ClientConnectionId> IdsNotServing() const;
 
  private:
--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -17,23 +17,23 @@
 
 using std::chrono::milliseconds;
 
-// Until the next attempt when no descriptor was free: the listener stays ready meanwhile.
+// Delay before accepting again if no descriptor was free: the listener stays ready all the time.
 constexpr milliseconds kAcceptRetryDelay{20};
 constexpr milliseconds kExpiryCheckInterval{50};
-// A lingering close ends after this time or so many bytes, whichever comes first.
+// A lingering close ends after the timeout or the maximum of bytes, whichever comes first.
 constexpr milliseconds kLingerTimeout{500};
 constexpr milliseconds kShutdownLingerTimeout{100};
 constexpr std::size_t kMaxDiscardedBytes = 1 << 20;
-// Connections accepted in a row, so that open ones are not kept waiting.
+// Maximum number of connections accepted per wakeup, so that open connections do not wait too long.
 constexpr std::size_t kMaxAcceptsPerWakeup = 64;
 constexpr std::size_t kMinWorkers = 2;
-// Of the poller's tokens; the others are connection ids.
+// Poller tokens that are not connection ids.
 constexpr Poller::Token kListenerToken = UINT64_MAX;
 constexpr Poller::Token kWakeupToken = UINT64_MAX - 1;
 constexpr const char* kLogSide = "client";
 constexpr const char* kRejectionRetryAfterMs = "1000";
 
-// Tells the client when to come back, without waiting for it, and closes.
+// Sends the client a retry time, without blocking, and closes the connection.
 void RejectConnection(Socket socket) {
   socket.SendAll(RespError("BUSY", kRejectionRetryAfterMs), std::chrono::steady_clock::now());
   LogConnectionEnd(kLogSide, "", ToString(CloseReason::kConnectionLimit), 0);
@@ -66,7 +66,7 @@
   }
   wakeup_.Signal();
   poll_thread_.Join();
-  // The thread pool's destructor lets the workers finish: their replies still go out.
+  // The thread pool's destructor waits for the workers, so that their replies are still sent.
 }
 
 void ClientServer::Drain() {
@@ -102,7 +102,8 @@
       accepted = HandleAllReady(ready);
       timeout = connections_.empty() ? std::nullopt : std::optional(kExpiryCheckInterval);
     }
-    // The listener stays ready meanwhile. Not with the mutex held, which every worker needs.
+    // The pause prevents a busy loop, as the listener stays ready. It is made without the mutex,
+    // which every worker needs.
     if (accepted == AcceptResult::kFailed) Pause(kAcceptRetryDelay);
   }
 }
@@ -137,7 +138,7 @@
     Socket socket = Accept(listener_);
     if (!socket.is_open()) {
       if (errno == EAGAIN) return AcceptResult::kDone;
-      // One that ended before it was accepted says nothing about the next.
+      // The error of a connection that ended before it was accepted does not affect others.
       if (Classify(SystemCall::kAccept, errno) == ErrorClass::kPeer) continue;
       return AcceptResult::kFailed;
     }
@@ -155,10 +156,11 @@
   return AcceptResult::kDone;
 }
 
-// Makes way for a new connection; false if no other may be closed yet.
+// Closes a connection to make room for a new one. Returns false if none may be closed yet.
 bool ClientServer::EvictOne(SteadyTime now) {
   if (FinishOldestLingering()) return true;
-  // One on which a command has come meanwhile goes to a worker, and the next is looked at.
+  // If a command has been received on the connection in the meantime, CloseIfIdle passes it to a
+  // worker, and the next connection is tried.
   while (ClientConnection* const connection = connections_.FindEvictable(now)) {
     if (!CloseIfIdle(*connection, CloseReason::kEvicted)) continue;
     FinishOldestLingering();
@@ -167,7 +169,7 @@
   return false;
 }
 
-// False if no connection is lingering.
+// Returns false if no connection is lingering.
 bool ClientServer::FinishOldestLingering() {
   ClientConnection* const oldest = connections_.FindOldestLingering();
   if (oldest == nullptr) return false;
@@ -175,7 +177,7 @@
   return true;
 }
 
-// True if the connection was given to a worker.
+// Returns true if the connection was passed to a worker.
 bool ClientServer::ReadOnce(ClientConnection& connection) {
   BufferPool::Buffer buffer = buffers_.Get();
   const ssize_t received = connection.socket.ReceiveNow(buffer.span());
@@ -210,7 +212,8 @@
   return false;
 }
 
-// Of a lingering connection; `received` as Socket::Receive returns it.
+// Counts the discarded input of a lingering connection; `received` is the result of
+// Socket::ReceiveNow.
 void ClientServer::DiscardInput(ClientConnection& connection, ssize_t received) {
   connection.discarded_bytes += static_cast<std::size_t>(std::max<ssize_t>(received, 0));
   if (received <= 0 || connection.discarded_bytes >= kMaxDiscardedBytes) {
@@ -236,7 +239,7 @@
   }
 }
 
-// In a drain. A new connection may still send its first command.
+// Called while draining. A new connection may still send its first command.
 void ClientServer::CloseBetweenCommands() {
   for (const ClientConnectionId id : connections_.IdsBetweenCommands()) {
     ClientConnection* const connection = connections_.Find(id);
@@ -244,7 +247,7 @@
   }
 }
 
-// At the end of the process: what has come by now is discarded, and nothing is waited for.
+// Called at shutdown: discards the input that was received so far, without waiting for more.
 void ClientServer::CloseAllNotServing() {
   for (const ClientConnectionId id : connections_.IdsNotServing()) {
     CloseWithoutPollLoop(*connections_.Find(id), CloseReason::kShutdown,
@@ -259,8 +262,8 @@
   if (excess != nullptr) CloseIfIdle(*excess, CloseReason::kEvicted);
 }
 
-// False if the connection isn't idle any longer, because something has come meanwhile. True if it
-// is closing, or was removed because the client had closed it.
+// Returns false if the connection is no longer idle because of new input. Returns true if it is
+// closing, or was removed because the client had closed it.
 bool ClientServer::CloseIfIdle(ClientConnection& connection, CloseReason reason) {
   const ClientConnectionId id = connection.id;
   if (connection.socket.HasInputOrEnd()) {
@@ -282,8 +285,8 @@
   Rearm(connection);
 }
 
-// A lingering close at the end of the process, where no poll loop discards what still comes: waits
-// for the peer's close until the deadline.
+// A lingering close at shutdown, when the poll loop no longer discards input: waits until the peer
+// closes the connection or the deadline passes.
 void ClientServer::CloseWithoutPollLoop(ClientConnection& connection, CloseReason reason,
                                         SteadyTime deadline) {
   shutdown(connection.socket.fd(), SHUT_WR);
@@ -302,7 +305,7 @@
   unwatched_.insert(connection.id);
 }
 
-// For want of memory the system may have refused to watch a connection: it is asked again.
+// Retries watching the connections that the system refused to watch, as when out of memory.
 void ClientServer::RearmUnwatched() {
   for (const ClientConnectionId id : std::exchange(unwatched_, {})) {
     ClientConnection* const connection = connections_.Find(id);
--- a/src/net/client_server.hpp
+++ b/src/net/client_server.hpp
@@ -1,14 +1,15 @@
 // The server that clients connect to, over RESP2.
 //
-// One thread, the poll loop, accepts all connections and reads from them. A connection on which a
-// complete command has come goes to a worker thread, which executes it and may wait for the engine
-// meanwhile, and returns to the poll loop once it is answered. So the number of threads follows the
-// number of commands in progress, not the number of open connections.
+// One thread, the poll loop, accepts all connections and reads from them. Once a connection has
+// received a complete command, the poll loop passes it to a worker thread. The worker executes the
+// command, which may block until the engine has decided, and returns the connection to the poll
+// loop after the reply. So the number of threads depends on the number of commands in progress, not
+// on the number of open connections.
 //
-// Every end of a connection from this side is a lingering close: sending is shut down, and what
-// still comes is discarded for a while. A close with unread input would make the system reset the
-// connection, and the last reply could be lost with it. Commands that come meanwhile are not
-// executed, so the client may safely send them elsewhere.
+// The server ends connections by a lingering close: it shuts down sending and discards further
+// input for a while. If it closed a socket with unread input, the system would reset the
+// connection, and the last reply could be lost. Commands that arrive during a lingering close are
+// not executed, so the client may safely send them elsewhere.
 #ifndef BRASSFRONT_NET_CLIENT_SERVER_HPP_
 #define BRASSFRONT_NET_CLIENT_SERVER_HPP_
 
@@ -35,45 +36,48 @@
  public:
   struct Limits {
     std::size_t connections = 1;  // open at once
-    // For each command to come whole: the first counted from the connection's start, others from
-    // their first byte. A total, so that a client that trickles gains nothing over a silent one.
+    // Maximum time until a command is complete, counted from the start of the connection for the
+    // first command and from the first byte for others. The limit is for the whole command, so that
+    // a client that sends single bytes has no advantage over a silent one.
     std::chrono::milliseconds command{2000};
     std::chrono::milliseconds idle{2000};  // between two commands
-    // Idle connections that have submitted a message; the longest idle is closed beyond that.
-    // Clients may be allowed only so many connections and leave each open after one message.
+    // Maximum number of idle connections that have submitted a message; beyond it the longest idle
+    // one is closed. Clients whose number of connections is limited may leave each one open after a
+    // single message.
     std::size_t max_idle = SIZE_MAX;
-    // How long a connection must have been idle before a new one may take its place, once all are
-    // in use: before its first valid message, and after it.
+    // Minimum idle time of a connection before it may be closed for a new one when the maximum
+    // number of connections is open: without a valid message so far, and with one.
     std::chrono::milliseconds min_idle_before_first_message{100};
     std::chrono::milliseconds min_idle{200};
-    // In a row; the connection is closed then. An invalid command costs as much as a message, and a
-    // client may pipeline hundreds.
+    // After this many consecutive invalid commands the connection is closed. An invalid command
+    // costs as much as a message, and a client may pipeline hundreds.
     std::size_t max_invalid_commands = 16;
-    std::size_t workers = 32;  // threads that execute commands; more connections wait for one
+    std::size_t workers = 32;  // threads that execute commands; further connections wait
   };
 
-  // Accepts from the listener until it is destroyed. The acceptor is called by the workers; it and
-  // the buffers must outlive the server. Throws std::runtime_error if the system can't provide the
-  // threads or descriptors.
+  // Accepts connections from the listener until the server is destroyed. The workers call the
+  // acceptor; it and the buffers must outlive the server. Throws std::runtime_error if the system
+  // can't provide the threads or descriptors.
   ClientServer(Socket listener, const Limits& limits, MessageAcceptor& acceptor,
                BufferPool& buffers);
-  // Answers the commands that workers have begun, then closes all connections.
+  // Waits until the workers have answered the commands in progress, then closes all connections.
   ~ClientServer();
 
-  // Any thread may call what follows.
+  // Any thread may call the methods below.
 
-  // From now on each connection is closed once its commands are answered. New connections are still
-  // accepted, for one round of commands each.
+  // Closes each connection once its commands are answered. New connections are still accepted and
+  // are closed after their first commands.
   void Drain();
-  // In standby, connections are closed as in Drain, so that clients go elsewhere; PING is answered
-  // with an error at once, and MSG.PUT is rejected after ClientCommands::kAcceptedInStandby.
+  // Turns standby on or off. In standby, connections are closed as in Drain, so that clients go
+  // elsewhere; PING is answered with an error immediately, and MSG.PUT is rejected after
+  // ClientCommands::kAcceptedInStandby.
   void StandBy(bool stand_by);
-  // Connections that wait for a command to begin. One that was answered is among them once its
-  // worker has returned it, which may be after the client has read the reply.
+  // Returns the number of connections that wait for a command to begin. A connection counts again
+  // once its worker has returned it, which may be after the client has read the reply.
   [[nodiscard]] std::size_t idle_connections() const;
 
  private:
-  // ---- the poll loop's, with the mutex held ----
+  // ---- called by the poll loop, with the mutex held ----
   void RunPollLoop();
   void HandleReady(Poller::Token token);
   enum class AcceptResult { kDone, kFailed };
@@ -87,7 +91,7 @@
   void CloseBetweenCommands();
   void CloseAllNotServing();
 
-  // ---- the poll loop's or a worker's, with the mutex held ----
+  // ---- called by the poll loop or a worker, with the mutex held ----
   [[nodiscard]] bool ClosesBetweenCommands() const { return draining_ || standby_.is_on(); }
   void EvictExcessIdle(SteadyTime now);
   bool CloseIfIdle(ClientConnection& connection, CloseReason reason);
@@ -97,7 +101,7 @@
   void RearmUnwatched();
   void Remove(ClientConnection& connection, CloseReason reason);
 
-  // ---- a worker's, without the mutex ----
+  // ---- called by a worker, without the mutex ----
   void ServeCommands(ClientConnection& connection);
 
   const Limits limits_;
@@ -108,13 +112,13 @@
   StandbySwitch standby_;
   const ClientCommands commands_;
 
-  mutable std::mutex mutex_;  // guards what follows, and all connections that are not being served
+  mutable std::mutex mutex_;  // guards the members below and all connections not being served
   bool draining_ = false;
   bool stopping_ = false;
   ClientConnectionTable connections_;
-  std::set<ClientConnectionId> unwatched_;  // the poller could not be told of their next input
+  std::set<ClientConnectionId> unwatched_;  // connections for which rearming the poller failed
 
-  // Destroyed first, the poll loop before the workers.
+  // These are destroyed first: the poll thread before the workers.
   ThreadPool<ClientConnection*> workers_;
   Thread poll_thread_;
 };
--- a/src/net/close_reason.hpp
+++ b/src/net/close_reason.hpp
@@ -1,4 +1,4 @@
-// Why a connection ended, as the log tells it. docs/logging.md lists the words for operators.
+// The reasons why a connection ended, as logged. docs/logging.md lists the words for operators.
 #ifndef BRASSFRONT_NET_CLOSE_REASON_HPP_
 #define BRASSFRONT_NET_CLOSE_REASON_HPP_
 
@@ -8,33 +8,33 @@
 
 enum class CloseReason {
   kCancelled,        // the engine stopped the call
-  kClientGone,       // the client closed before it was told that its message was accepted
-  kConnectFailed,    // the connection did not come up
-  kConnectionLimit,  // a new connection that no other one could make way for
+  kClientGone,       // the client closed before the reply that its message is accepted
+  kConnectFailed,    // the connection could not be established
+  kConnectionLimit,  // a new connection, rejected because no other one could be evicted
   kDraining,         // between two commands, in a graceful shutdown or in standby
   kEndpointRemoved,  // its endpoint is no longer listed
-  kEvicted,          // idle, closed in favour of others
-  kIdle,             // idle for the longest time allowed
-  kIdleLimit,        // one idle connection more than are kept
-  kIncomplete,       // the response did not come whole in time
+  kEvicted,          // idle, closed to make room for others
+  kIdle,             // idle for the maximum time
+  kIdleLimit,        // it exceeded the maximum number of idle connections
+  kIncomplete,       // the response was not complete in time
   kInvalid,          // the response cannot be used
-  kKeepAliveOff,     // the peer asked for the end after its response
-  kMalformed,        // the bytes break the protocol
+  kKeepAliveOff,     // the peer does not keep the connection open after its response
+  kMalformed,        // the bytes violate the protocol
   kMoved,            // the peer's address has changed
   kPeerClosed,       // the peer closed it
-  kQuit,             // the client asked for it
+  kQuit,             // the client sent QUIT
   kReset,            // an error on the connection
-  kShutdown,         // the process ends
-  kSilent,           // nothing came in time
+  kShutdown,         // the process is shutting down
+  kSilent,           // nothing was received in time
   kStale,            // the peer closed it, or sent something, while it was idle
-  kTimedOut,         // the call's time was over
-  kTooManyErrors,    // too many invalid commands in a row
-  kTooSlow,          // a command did not come whole in time
+  kTimedOut,         // the call timed out
+  kTooManyErrors,    // too many consecutive invalid commands
+  kTooSlow,          // a command was not complete in time
   kWithdrawn,        // the engine withdrew the call before it was sent
   kWriteFailed,      // the request could not be written
 };
 
-// The word in the log.
+// Returns the word in the log.
 std::string_view ToString(CloseReason reason);
 
 }  // namespace brassfront
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -8,8 +8,9 @@
 namespace {
 
 constexpr const char* kLogSide = "endpoint";
-// Of the time after which the endpoint closes an idle connection. A call that crosses that close
-// would end as a reset, and might have run.
+// The share of the endpoint's own idle timeout for which a connection is kept. If the endpoint
+// closed a connection while a call is sent on it, the call would end with a reset, and might have
+// run.
 constexpr double kIdleTimeoutShare = 0.6;
 
 }  // namespace
@@ -57,7 +58,8 @@
   connection.Close(reason);
 }
 
-// An answer that is not settled is only found out on its own connection, so that one stays open.
+// Closes the connection unless it has unsettled answers: only further input on the same connection
+// shows that such an answer is wrong, so the connection stays open until they are settled.
 bool ConnectionPool::CloseIfSettled(EndpointConnection& connection, CloseReason reason,
                                     SteadyTime now) {
   if (unsettled_answers_.IsUnrested(connection.id) && !connection.socket.HasInputOrEnd()) {
--- a/src/net/discovery_watcher.cpp
+++ b/src/net/discovery_watcher.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int kHttpOk = 200;
-constexpr std::size_t kLoggedListBytes = 80;  // of a list that can't be read
+constexpr std::size_t kLoggedListBytes = 80;  // logged part of a list that can't be parsed
 
 }  // namespace
 
@@ -35,13 +35,13 @@
     const std::string address = client_.address();
     WatchOnce(address);
     const auto delay = timeouts_.DelayAfter(std::chrono::steady_clock::now());
-    // A move ends the delay early, as changes at a new address must be known sooner.
+    // A new address ends the delay early, because changes there must be known sooner.
     const bool moved = client_.Pause(delay, address);
     if (moved) client_.Pause(timeouts_.DelayAfterMove());
   }
 }
 
-// One request, for as long as discovery keeps it open.
+// Makes one request and reads its response for as long as discovery keeps it open.
 void DiscoveryWatcher::WatchOnce(const std::string& address) {
   timeouts_.OnPollStarted(std::chrono::steady_clock::now());
   const std::string path = "/api/targets?watch=1&from=" + std::to_string(revision_);
@@ -49,11 +49,11 @@
   ObjectCutter lists;
   const auto on_bytes = [&](HttpReader& response) { return ConsumeBody(response, lists); };
   const auto give_up_at = [this] { return timeouts_.GiveUpAt(); };
-  // However it ends, the next request follows after the delay.
+  // The result does not matter: the next request is made after the delay in any case.
   static_cast<void>(client_.Exchange(HttpGet(path, address), reader, on_bytes, give_up_at));
 }
 
-// False if the response can't be used.
+// Returns false if the response can't be used.
 bool DiscoveryWatcher::ConsumeBody(HttpReader& response, ObjectCutter& lists) {
   if (response.head_done() && response.status() != kHttpOk) return false;
   for (const std::string& text : lists.Feed(response.TakeBody())) {
@@ -64,7 +64,7 @@
   return !lists.broken();
 }
 
-// False if the text is no endpoint list.
+// Returns false if the text is not an endpoint list.
 bool DiscoveryWatcher::ConsumeList(const std::string& text) {
   try {
     MemberList list = ReadMemberList(json::Parse(text, {.bytes = ObjectCutter::kMaxObjectBytes}));
--- a/src/net/discovery_watcher.hpp
+++ b/src/net/discovery_watcher.hpp
@@ -1,5 +1,5 @@
-// Watches discovery: keeps a request open on which discovery sends each new endpoint list as a JSON
-// object, in any layout.
+// Watches discovery: keeps a request open, to which discovery sends each new endpoint list as a
+// JSON object, in any layout.
 #ifndef BRASSFRONT_NET_DISCOVERY_WATCHER_HPP_
 #define BRASSFRONT_NET_DISCOVERY_WATCHER_HPP_
 
@@ -21,19 +21,19 @@
   // Called by the watcher's thread.
   using OnEndpointList = std::function<void(MemberList)>;
 
-  // The forwarders that watch the same discovery.
+  // The group of forwarders that watch the same discovery.
   struct Group {
-    std::size_t size = 1;    // this one among them
-    std::uint64_t seed = 0;  // of the spread of this one's requests
+    std::size_t size = 1;    // including this one
+    std::uint64_t seed = 0;  // for the jitter of this forwarder's requests
   };
 
-  // Watches for lists after `revision` until it is destroyed; with 0 the first answer is the whole
-  // list, at once. The first request is made at once. The buffers must outlive it.
+  // Watches for lists newer than `revision` until destroyed; with 0 discovery sends the complete
+  // list immediately. The first request is made immediately. The buffers must outlive the watcher.
   DiscoveryWatcher(std::string address, std::uint64_t revision, const Group& group,
                    BufferPool& buffers, OnEndpointList on_list);
   ~DiscoveryWatcher();
 
-  // Any thread may call this. Continues at another address, from the last revision that came.
+  // Any thread may call this. Continues at another address, from the last revision received.
   void SetAddress(std::string address) { client_.SetAddress(std::move(address)); }
 
  private:
@@ -47,7 +47,7 @@
   DiscoveryTimeouts timeouts_;
   std::uint64_t revision_;
   HttpClient client_;
-  Thread thread_;  // the last member: it uses the others
+  Thread thread_;  // the last member, as the thread uses the others
 };
 
 }  // namespace brassfront
--- a/src/net/endpoint_call.hpp
+++ b/src/net/endpoint_call.hpp
@@ -14,15 +14,15 @@
 
 namespace brassfront {
 
-// A call that carries one delivery attempt, a batch of them or a health check. The engine makes it
-// and may withdraw or abort it at any time; one thread of the EndpointClient performs it meanwhile.
+// A call with one delivery attempt, a batch of them or a health check. The engine creates it and
+// may withdraw or abort it at any time, while a thread of the EndpointClient performs it.
 class EndpointCall {
  public:
-  // What the engine did to it first.
+  // How the engine stopped the call; the first reason counts.
   enum class StopReason { kNone, kWithdrawn, kCancelled, kTimedOut };
 
-  // `permit` is asked as the last check before the first byte, in the performing thread; without
-  // one the call is always permitted.
+  // `latest` becomes start_by. The performing thread calls `permit` as the last check before the
+  // first byte; without a function the call is always permitted.
   EndpointCall(std::uint64_t call_id, std::uint64_t endpoint_id, std::string to, std::string bytes,
                SteadyTime latest, std::function<bool()> permit = nullptr)
       : id(call_id),
@@ -33,20 +33,19 @@
         permit_(std::move(permit)) {}
 
   const std::uint64_t id;
-  const std::uint64_t endpoint;  // its id; another endpoint may take over the address
+  const std::uint64_t endpoint;  // id; the address may pass to another endpoint
   const std::string address;     // IPv4:PORT
-  const std::string request;     // the whole HTTP request
+  const std::string request;     // the complete HTTP request
   const SteadyTime start_by;     // the first byte is not written later than this
 
   // ---- for any thread ----
 
-  // The call is not to be sent, unless its first byte may already have been written: then this has
-  // no effect.
+  // Prevents the call from being sent. No effect if its first byte may already have been written.
   void WithdrawBeforeSend() {
     const std::lock_guard lock(mutex_);
     if (!write_begun_ && stop_reason_ == StopReason::kNone) stop_reason_ = StopReason::kWithdrawn;
   }
-  // Ends the call whatever it is doing, by shutting its connection down.
+  // Ends the call in any state, by shutting down its connection.
   void Abort(StopReason why) {
     const std::lock_guard lock(mutex_);
     if (stop_reason_ == StopReason::kNone) stop_reason_ = why;
@@ -59,8 +58,8 @@
 
   // ---- for the thread that performs it ----
 
-  // From now until DetachConnection, Abort shuts this connection down; it must stay open. False if
-  // the call was stopped before.
+  // Until DetachConnection, Abort shuts down this connection, which must stay open. Returns false
+  // if the call has already been stopped.
   [[nodiscard]] bool AttachConnection(const Socket& socket) {
     const std::lock_guard lock(mutex_);
     if (stop_reason_ != StopReason::kNone) return false;
@@ -71,7 +70,8 @@
     const std::lock_guard lock(mutex_);
     attached_fd_ = -1;
   }
-  // The last check before the first byte; false if the call is stopped, late or not permitted.
+  // The last check before the first byte. Returns false if the call is stopped, late or not
+  // permitted.
   [[nodiscard]] bool BeginWrite() {
     const std::lock_guard lock(mutex_);
     if (stop_reason_ != StopReason::kNone) return false;
@@ -80,7 +80,7 @@
     write_begun_ = true;
     return true;
   }
-  // The request could not be written completely, so it did not run: it may be begun again.
+  // The request was not written completely, so it did not run and may be written again.
   void UndoBeginWrite() {
     const std::lock_guard lock(mutex_);
     write_begun_ = false;
@@ -88,17 +88,17 @@
 
  private:
   const std::function<bool()> permit_;
-  mutable std::mutex mutex_;  // guards what follows
-  int attached_fd_ = -1;      // of the connection, which the performing thread owns
+  mutable std::mutex mutex_;  // guards the members below
+  int attached_fd_ = -1;      // of the connection, owned by the performing thread
   bool write_begun_ = false;
   StopReason stop_reason_ = StopReason::kNone;
 };
 
-// How a call ended, as its connection shows it. The log tells them by their numbers.
+// How a call ended, as far as its connection shows. The log has the numeric values.
 enum class CallOutcome {
-  kAnswered,                // a response came; an incomplete one only with status 200
+  kAnswered,                // a response was received; an incomplete one only with status 200
   kNotSent,                 // it did not run: stopped, late or not permitted before the first byte
-  kConnectFailed,           // it did not run: no connection, or the request was not written whole
+  kConnectFailed,           // it did not run: no connection, or the request was not fully written
   kConnectionLimitReached,  // it did not run: the endpoint rejected the connection
   kReset,                   // it may have run: the connection ended without a usable response
   kTimedOut,                // aborted with kTimedOut; it may have run
@@ -108,12 +108,12 @@
 struct EndpointCallResult {
   std::uint64_t call_id = 0;
   CallOutcome outcome = CallOutcome::kReset;
-  // What follows is set with kAnswered and, of a complete response, kConnectionLimitReached.
-  int status = 0;         // of HTTP
-  bool complete = false;  // else only the status is known
+  // The fields below are set with kAnswered, and with kConnectionLimitReached.
+  int status = 0;         // HTTP status code
+  bool complete = false;  // if false, only the status is known
   std::string body{};
-  SharedAnswerCertainty certainty{};  // of what was answered; none if it is certain
-  // Headers as the endpoint sent them; empty if absent.
+  SharedAnswerCertainty certainty{};  // of the answer; null if it is certain
+  // Unparsed response headers; empty if absent.
   std::string retry_after_ms{};
   std::string slots_taken{};
   std::string load_report{};
--- a/src/net/endpoint_client.cpp
+++ b/src/net/endpoint_client.cpp
@@ -13,15 +13,15 @@
 using StopReason = EndpointCall::StopReason;
 
 constexpr std::size_t kMinThreads = 2;
-// Of a response; that to a full batch is a few KiB.
+// Maximum size of a response body; the response to a full batch is a few KiB.
 constexpr std::size_t kMaxResponseBodyBytes = std::size_t{128} * 1024;
-// From a response's first byte to its last. A response that claims more than ever comes would
-// occupy a thread and a connection for good.
+// Maximum time from the first byte of a response to its last. Without it, a response that is
+// shorter than it announces would occupy a thread and a connection forever.
 constexpr std::chrono::milliseconds kResponseTimeout{500};
 constexpr int kHttpOk = 200;
 constexpr int kHttpServiceUnavailable = 503;
 
-// What the engine's stop makes of the reason why a connection ends.
+// Returns the close reason of a connection, where a stop by the engine takes precedence.
 CloseReason CloseReasonFor(StopReason stop, CloseReason without_stop) {
   switch (stop) {
     case StopReason::kNone:
@@ -36,9 +36,10 @@
   return without_stop;
 }
 
-// Reads until the response is complete, cannot become so, or the connection is shut down. Returns
-// what the connection ends for if the response is not complete: kStale if it was received before
-// the request was sent. On a new connection that is no earlier answer, but a rejection.
+// Reads until the response is complete, can no longer become complete, or the connection is shut
+// down. Returns the close reason of the connection for the case that the response is not complete:
+// kStale if it was received before the request was sent. On a new connection such a response is not
+// an earlier answer but a rejection.
 CloseReason ReadUntilComplete(EndpointConnection& connection, BufferPool& buffers,
                               HttpReader& reader) {
   Socket& socket = connection.socket;
@@ -73,8 +74,8 @@
   return is_silent ? UnsettledAnswers::CallEnd::kSilent : UnsettledAnswers::CallEnd::kOther;
 }
 
-// The outcome of a call whose request was written. An incomplete response counts only if its first
-// line has status 200, so that a request that has run is never taken for one that was rejected.
+// Returns the result of a call whose request was written. An incomplete response counts only if its
+// status is 200, so that a request that has run is never mistaken for a rejected one.
 EndpointCallResult MakeResult(HttpReader& reader, StopReason stop) {
   EndpointCallResult result;
   if (reader.done() || reader.status() == kHttpOk) {
@@ -94,8 +95,8 @@
   return result;
 }
 
-// True if the endpoint rejected the connection, not the call: it answered 503 on the connection's
-// first call, closed it, and said nothing about its capacity for calls.
+// True if the endpoint rejected the connection, not the call: it answered the first call on the
+// connection with 503, closed the connection, and sent no header about its capacity for calls.
 bool IsConnectionRejected(const EndpointCallResult& result, bool keep_alive,
                           std::size_t calls_on_connection) {
   return result.complete && result.status == kHttpServiceUnavailable && calls_on_connection == 1 &&
@@ -175,7 +176,7 @@
       if (opened == OpenResult::kFailed) return {.outcome = CallOutcome::kConnectFailed};
     }
     if (!call.BeginWrite()) return GiveUpBeforeWrite(std::move(connection), call);
-    // What has come by now would be read as the answer to this call.
+    // Input that is already there would be read as the answer to this call.
     if (reused && connection.socket.HasInputOrEnd()) {
       call.UndoBeginWrite();
       call.DetachConnection();
@@ -186,8 +187,9 @@
       const SteadyTime written_at = NoteWritten(connection);
       return ReadResponse(std::move(connection), call, written_at);
     }
-    // The request is not complete, so it did not run. If the connection was idle before, it may
-    // have ended unnoticed, which says nothing about the endpoint: the next one may work.
+    // The request is not complete, so it did not run. A reused connection may have ended unnoticed
+    // while it was idle. That does not mean that the endpoint is down, so another connection is
+    // tried.
     call.UndoBeginWrite();
     call.DetachConnection();
     const StopReason stop = call.stop_reason();
@@ -197,7 +199,7 @@
   }
 }
 
-// The call may not be sent any more; its connection is as good as before unless it was shut down.
+// The call may no longer be sent. Its connection can be reused, unless Abort has shut it down.
 EndpointCallResult EndpointClient::GiveUpBeforeWrite(EndpointConnection connection,
                                                      EndpointCall& call) {
   call.DetachConnection();
@@ -212,8 +214,8 @@
   return {.outcome = CallOutcome::kNotSent};
 }
 
-// What this machine lacks for a moment says nothing about the endpoint: it is waited for, as long
-// as the call may still begin and a connection may take to come up.
+// A temporary shortage of resources on this machine does not mean that the endpoint is down, so the
+// connection is retried until the call's start_by or the connect timeout, whichever is earlier.
 EndpointClient::OpenResult EndpointClient::OpenConnection(EndpointConnection& connection,
                                                           EndpointCall& call) {
   const SteadyTime until =
@@ -248,7 +250,8 @@
   const std::size_t calls_on_connection = ++connection.calls;
   SharedAnswerCertainty certainty =
       NoteEnd(connection, written_at, CallEndOf(reader, stop), reader);
-  // Before the result is passed on: a call that was stopped has closed its connection then.
+  // The connection is returned or closed before the result is passed on, so that the connection of
+  // a stopped call is closed by then.
   if (reader.done() && reader.keep_alive() && stop == StopReason::kNone) {
     ReturnConnection(std::move(connection));
   } else if (failure == CloseReason::kStale && stop == StopReason::kNone) {
@@ -290,7 +293,8 @@
   return now;
 }
 
-// To be called before the connection is returned or closed. The call is counted.
+// To be called before the connection is returned or closed, and after connection.calls was
+// incremented for this call.
 SharedAnswerCertainty EndpointClient::NoteEnd(const EndpointConnection& connection,
                                               SteadyTime written_at, UnsettledAnswers::CallEnd end,
                                               const HttpReader& reader) {
--- a/src/net/endpoint_client.hpp
+++ b/src/net/endpoint_client.hpp
@@ -1,4 +1,4 @@
-// The client of the endpoints: threads that perform HTTP calls on pooled connections.
+// The HTTP client for calls to endpoints: threads that perform the calls on pooled connections.
 #ifndef BRASSFRONT_NET_ENDPOINT_CLIENT_HPP_
 #define BRASSFRONT_NET_ENDPOINT_CLIENT_HPP_
 
@@ -22,10 +22,10 @@
 class EndpointClient {
  public:
   struct Options {
-    std::size_t threads = 1;                // calls at once; more wait for a thread
+    std::size_t threads = 1;                // maximum number of concurrent calls; others wait
     std::size_t max_idle_connections = 64;  // to all endpoints together
     std::size_t group_size = 1;             // forwarders that call the same endpoints
-    // After which an endpoint closes an idle connection.
+    // The idle time after which an endpoint closes a connection.
     std::chrono::nanoseconds connection_idle{};
     std::chrono::milliseconds connect_timeout{};
   };
@@ -35,28 +35,29 @@
   // The buffers must outlive the client. Throws std::runtime_error if the system can't provide a
   // thread.
   EndpointClient(const Options& options, BufferPool& buffers, OnResult on_result);
-  // Cancels the calls in flight, and returns after the result of each was passed on.
+  // Cancels the calls in flight, and waits until the result of each has been passed to OnResult.
   ~EndpointClient();
 
-  // Any thread may call what follows; nothing of it waits for an endpoint.
+  // Any thread may call the methods below. None of them waits for an endpoint.
 
   // Performs the call as soon as a thread is free.
   void Start(std::shared_ptr<EndpointCall> call);
-  // Closes expired idle connections and those that the endpoint has closed. To be called every
+  // Closes idle connections that have expired or that the endpoint has closed. To be called every
   // second, and at NextIdleExpiry.
   void CloseExpiredIdle();
-  // When the next idle connection expires; max() if there is none.
+  // Returns when the next idle connection expires; max() if there is none.
   [[nodiscard]] SteadyTime NextIdleExpiry() const;
   // The endpoint is no longer listed: closes its idle connections.
   void RemoveEndpoint(std::uint64_t endpoint);
-  // Settles the answers of connections that have rested, to be called while there are any.
+  // Settles the answers on connections that have been idle for long enough. To be called repeatedly
+  // while there are unsettled answers.
   void SettleAnswers();
 
  private:
   void Run(const std::shared_ptr<EndpointCall>& call);
   EndpointCallResult Perform(EndpointCall& call);
   EndpointCallResult GiveUpBeforeWrite(EndpointConnection connection, EndpointCall& call);
-  // kNotTried: the call was stopped, or this machine had no room for a connection.
+  // kNotTried: the call was stopped, or this machine lacked resources for a connection.
   enum class OpenResult { kOpened, kFailed, kNotTried };
   [[nodiscard]] OpenResult OpenConnection(EndpointConnection& connection, EndpointCall& call);
   EndpointCallResult ReadResponse(EndpointConnection connection, EndpointCall& call,
@@ -73,10 +74,10 @@
   const Options options_;
   BufferPool& buffers_;
   const OnResult on_result_;
-  mutable std::mutex mutex_;  // guards what follows
+  mutable std::mutex mutex_;  // guards the members below
   ConnectionPool connections_;
   std::map<std::uint64_t, std::shared_ptr<EndpointCall>> in_flight_;  // by call id
-  // The last member, so that its destructor, which finishes the calls, runs first.
+  // The last member, so that its destructor, which waits for the calls, runs first.
   ThreadPool<std::shared_ptr<EndpointCall>> threads_;
 };
 
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -95,13 +95,13 @@
   }
   const bool connected = Connect(socket_, connected_to_, timeouts_.connect);
   if (connected && early_response_ == EarlyResponse::kRefused) socket_.RecordSegmentTimes();
-  // An interruption may have come before there was a connection to shut down.
+  // The client may have been interrupted before there was a connection to shut down.
   if (connected && IsWanted()) return true;
   Close(CloseReason::kConnectFailed);
   return false;
 }
 
-// Whether the open connection is to be used.
+// True if the open connection may be used.
 bool HttpClient::IsWanted() const {
   const std::lock_guard lock(mutex_);
   return !stopped_ && !interrupted_ && connected_to_ == address_;
@@ -113,7 +113,8 @@
   return true;
 }
 
-// Until the response is complete or can't become so. False if the connection was closed for it.
+// Reads until the response is complete or can no longer become complete. Returns false if it closed
+// the connection.
 bool HttpClient::ReadResponse(HttpReader& reader, const OnBytes& on_bytes,
                               const GiveUpAt& give_up_at) {
   BufferPool::Buffer buffer = buffers_.Get();
@@ -146,8 +147,8 @@
   return true;
 }
 
-// A stop, a new address and an interruption shut the socket down, so they are the reason whatever
-// was seen of it.
+// A stop, a new address and an interruption shut down the socket, so they take precedence over the
+// reason that was observed on it.
 void HttpClient::Close(CloseReason reason) {
   const std::lock_guard lock(mutex_);
   socket_.Close();
--- a/src/net/idle_connection_budget.cpp
+++ b/src/net/idle_connection_budget.cpp
@@ -6,16 +6,16 @@
 namespace brassfront {
 namespace {
 
-// Connections that one forwarder keeps at most. With two, one in nine calls of small groups had to
-// open a new one.
+// Maximum number of connections that one forwarder keeps. With two, one in nine calls of small
+// groups had to open a new connection.
 constexpr double kMaxBudget = 4;
-// Connections that the group keeps together, of those that an endpoint accepts.
+// Maximum number of connections that the whole group keeps, out of those that an endpoint accepts.
 constexpr double kGroupBudget = 8;
-// Weight of the newest interval in the mean. Calls come in bursts, so the mean must follow soon.
+// Weight of the newest interval in the mean. Calls come in bursts, so the mean must adapt quickly.
 constexpr double kCallIntervalGain = 0.3;
 constexpr IdleConnectionBudget::Seconds kInitialCallInterval{1};
 constexpr double kMaxHalvings = 6;
-constexpr IdleConnectionBudget::Seconds kHalvingRecovery{4};  // until one of them is taken back
+constexpr IdleConnectionBudget::Seconds kHalvingRecovery{4};  // time until one halving is undone
 
 double FullBudget(std::size_t group_size) {
   const auto forwarders = static_cast<double>(std::max<std::size_t>(group_size, 1));
--- a/src/net/idle_connection_budget.hpp
+++ b/src/net/idle_connection_budget.hpp
@@ -1,8 +1,8 @@
 // How many idle connections to one endpoint a forwarder keeps, and for how long. No I/O, no clock.
 //
-// An endpoint accepts few connections, idle ones included, and each forwarder of a group keeps its
-// own. If a hundred of them kept one or two each, the endpoint's limit would be used up by idle
-// connections, and the calls of all the others would be rejected.
+// An endpoint accepts a small number of connections, including idle ones, and each forwarder of a
+// group has its own. If each of a hundred forwarders kept one or two, idle connections would use up
+// the endpoint's limit, and the calls of all other forwarders would be rejected.
 #ifndef BRASSFRONT_NET_IDLE_CONNECTION_BUDGET_HPP_
 #define BRASSFRONT_NET_IDLE_CONNECTION_BUDGET_HPP_
 
@@ -16,20 +16,20 @@
   using Time = std::chrono::steady_clock::time_point;
   using Seconds = std::chrono::duration<double>;
 
-  // `group_size`: forwarders that call the endpoint, this one among them; 0 counts as 1.
+  // `group_size`: number of forwarders that call the endpoint, including this one; 0 counts as 1.
   explicit IdleConnectionBudget(std::size_t group_size);
 
   // A call to the endpoint begins.
   void OnCall(Time now);
-  // The endpoint rejected a connection because it had too many. The budget is halved, and returns
-  // to its full size within some seconds.
+  // The endpoint rejected a connection because it had too many. Halves the budget, which returns to
+  // its full size within several seconds.
   void OnConnectionRejected(Time now);
 
-  // Idle connections to be kept at once.
+  // Returns the maximum number of idle connections to keep.
   [[nodiscard]] std::size_t MaxIdleConnections(Time now) const;
-  // How long each of them may stay idle, at most `max_idle`. With a budget of less than one
-  // connection, it is that fraction of the mean time between calls, so that on average the group
-  // together keeps no more than its budget.
+  // Returns how long each of them may stay idle, at most `max_idle`. With a budget below one
+  // connection, this is that fraction of the mean time between calls, so that on average the group
+  // as a whole keeps no more than its budget.
   [[nodiscard]] Seconds IdleTimeout(Time now, Seconds max_idle) const;
 
  private:
@@ -37,7 +37,7 @@
   [[nodiscard]] double BudgetAt(Time now) const;
 
   const double full_budget_;  // connections
-  double halvings_ = 0;       // of the budget, after the last rejection
+  double halvings_ = 0;       // of the budget, as of the last rejection
   Time last_rejection_{};
   Time last_call_{};
   Seconds mean_call_interval_;
--- a/src/net/notification_client.cpp
+++ b/src/net/notification_client.cpp
@@ -9,10 +9,11 @@
 
 constexpr const char* kLogSide = "notifications";
 constexpr const char* kPath = "/v2/finals";
-// Kept, however idle: more than there are posts that are left alone (NotificationOutbox).
+// Threads that are kept even when idle: more than the number of late posts that NotificationOutbox
+// leaves open until they end.
 constexpr std::size_t kMinThreads = 3;
 
-// The status of the answer; 0 if it did not come whole.
+// Returns the status of the response; 0 if it is not complete.
 int Exchange(HttpClient& client, const std::string& body) {
   const std::string request =
       HttpPost(kPath, client.address(), {{"Content-Type", "application/json"}}, body);
@@ -85,7 +86,8 @@
   return connection;
 }
 
-// With the mutex held. There is one for each thread.
+// The caller must hold the mutex. There is always an idle connection, because there is one for each
+// thread.
 NotificationClient::Connection* NotificationClient::TakeIdle(Reuse reuse) {
   auto chosen = std::prev(idle_.end());
   if (reuse == Reuse::kForbidden) {
--- a/src/net/notification_client.hpp
+++ b/src/net/notification_client.hpp
@@ -1,5 +1,5 @@
-// Carries posts of notifications to the platform, several at once, each on a connection of its own.
-// What is posted, and what a post's end means, is up to the caller (forwarder/notification_outbox).
+// Posts notifications to the platform, several posts concurrently, each on a separate connection.
+// The caller (forwarder/notification_outbox) decides what is posted, and how to handle each result.
 #ifndef BRASSFRONT_NET_NOTIFICATION_CLIENT_HPP_
 #define BRASSFRONT_NET_NOTIFICATION_CLIENT_HPP_
 
@@ -20,40 +20,40 @@
 
 // How a post ended.
 struct NotificationPostResult {
-  std::uint64_t post = 0;  // the caller's number for it
-  int status = 0;          // of HTTP; 0: no whole answer came
+  std::uint64_t post = 0;  // the caller's id of the post
+  int status = 0;          // HTTP status code; 0 if no complete response was received
 };
 
 class NotificationClient {
  public:
-  // A connection may take so long to come up, where the platform's listener is crowded.
+  // Connecting may take this long if the platform's listener is overloaded.
   static constexpr std::chrono::milliseconds kConnectTimeout{1500};
-  // Of the whole answer, from the post's last byte. The platform answers at once; one that does not
-  // is waited for while nothing else needs the connection.
+  // Maximum time from the last byte of the post to the end of the response. The platform normally
+  // responds immediately; a late response is waited for while nothing else needs the connection.
   static constexpr std::chrono::milliseconds kAnswerTimeout{5000};
 
   // Called by the client's threads, once for each post.
   using OnResult = std::function<void(NotificationPostResult)>;
 
-  // `max_posts`: at once, and connections. The buffers must outlive the client. Throws
-  // std::runtime_error where the system has no room for a thread.
+  // `max_posts`: maximum number of concurrent posts, and of connections. The buffers must outlive
+  // the client. Throws std::runtime_error if the system can't start a thread.
   NotificationClient(const std::string& address, std::size_t max_posts, BufferPool& buffers,
                      OnResult on_result);
-  // Ends the posts that are running.
+  // Ends the posts in progress.
   ~NotificationClient();
   NotificationClient(const NotificationClient&) = delete;
   NotificationClient& operator=(const NotificationClient&) = delete;
 
-  // Any thread may call what follows.
+  // Any thread may call the methods below.
 
-  // Whether an open connection may be used: it may have fallen silent unnoticed.
+  // Whether an open connection may be reused: its peer may have become silent unnoticed.
   enum class Reuse { kAllowed, kForbidden };
-  // Never waits. The body's lines are notifications.
+  // Never waits. Each line of the body is a notification.
   void Start(std::uint64_t post, std::string body, Reuse reuse = Reuse::kAllowed);
-  // The post's result does not matter any more: its connection is closed if it is running.
+  // The result of the post no longer matters: its connection is closed if it is in progress.
   void Abandon(std::uint64_t post);
-  // Running posts end without an answer; later ones go to the new address. Without effect if it is
-  // the same.
+  // Ends the posts in progress without a response; later ones go to the new address. No effect if
+  // the address is the same.
   void SetAddress(const std::string& address);
 
  private:
@@ -64,21 +64,21 @@
   };
   struct Connection {
     std::unique_ptr<HttpClient> client;
-    std::uint64_t post = 0;  // that it carries
+    std::uint64_t post = 0;  // the post in progress on it; 0 if none
   };
 
   void Carry(const Post& post);
-  // Null if the post was abandoned before it began.
+  // Returns null if the post was abandoned before it began.
   [[nodiscard]] Connection* TakeConnection(const Post& post);
   [[nodiscard]] Connection* TakeIdle(Reuse reuse);
   void ReturnConnection(Connection& connection);
 
   const OnResult on_result_;
-  std::mutex mutex_;                     // guards what follows
-  std::set<std::uint64_t> waiting_;      // posts that no connection carries yet
+  std::mutex mutex_;                     // guards the members below
+  std::set<std::uint64_t> waiting_;      // posts without a connection so far
   std::vector<Connection> connections_;  // as many as threads; never moved
-  std::vector<Connection*> idle_;        // of these, the most recently used last
-  ThreadPool<Post> threads_;             // the last member: its threads use the others
+  std::vector<Connection*> idle_;        // subset of these, the most recently used last
+  ThreadPool<Post> threads_;             // the last member, as its threads use the others
 };
 
 }  // namespace brassfront
--- a/src/net/poller.cpp
+++ b/src/net/poller.cpp
@@ -23,7 +23,7 @@
   return false;
 }
 
-// What `open` makes, once there is room for it.
+// Returns the descriptor that `open` creates; retries while the system is short of descriptors.
 template <typename Open>
 Socket RequireDescriptor(Open open) {
   Socket descriptor;
@@ -31,7 +31,7 @@
     descriptor = Socket(open());
     return descriptor.is_open();
   });
-  if (!opened) throw std::runtime_error("no room for a descriptor");
+  if (!opened) throw std::runtime_error("the system can't provide a descriptor");
   return descriptor;
 }
 
@@ -42,7 +42,7 @@
 void Poller::Watch(int fd, Token token) {
   const bool watched = RetryAtStart(
       SystemCall::kPoll, [&] { return Control(epoll_, EPOLL_CTL_ADD, fd, token, EPOLLIN); });
-  if (!watched) throw std::runtime_error("no room for a descriptor");
+  if (!watched) throw std::runtime_error("the system can't watch a descriptor");
 }
 
 bool Poller::WatchOneShot(int fd, Token token) {
@@ -57,7 +57,8 @@
   std::array<epoll_event, kMaxReadyPerWait> events;
   const int timeout_ms = timeout ? static_cast<int>(timeout->count()) : -1;
   const int reported = epoll_wait(epoll_.fd(), events.data(), events.size(), timeout_ms);
-  // The caller comes again at once; where it is interrupted each time, that would cost a core.
+  // The caller calls again immediately. Without a pause, repeated interruptions would use up a
+  // whole core.
   if (reported < 0) {
     observe::CountSystemCallFailure("epoll_wait", errno);
     Pause(kTransientPause);
--- a/src/net/poller.hpp
+++ b/src/net/poller.hpp
@@ -1,5 +1,5 @@
-// Owners of the two kernel objects of a poll loop: the epoll instance that tells which descriptors
-// are ready, and the eventfd by which other threads wake the loop up.
+// Wrappers of the two kernel objects of a poll loop: the epoll instance that reports which
+// descriptors are ready, and the eventfd with which other threads wake up the loop.
 #ifndef BRASSFRONT_NET_POLLER_HPP_
 #define BRASSFRONT_NET_POLLER_HPP_
 
@@ -14,11 +14,11 @@
 
 namespace brassfront {
 
-// Waits until one of many descriptors can be read. It doesn't own the descriptors; closing one ends
-// its watch. Wait is for one thread; the other methods may be called by any thread meanwhile.
+// Waits until one of many descriptors is readable. It doesn't own the descriptors; closing one
+// unregisters it. Only one thread may call Wait; any thread may call the other methods at any time.
 class Poller {
  public:
-  // Chosen by the caller, and given back when the descriptor is ready.
+  // Chosen by the caller; Wait returns it when the descriptor is ready.
   using Token = std::uint64_t;
 
   // Throws std::runtime_error if the system has no descriptor left.
@@ -27,24 +27,25 @@
   // Reports the descriptor each time it has input. Throws std::runtime_error if the system can't
   // watch a further descriptor.
   void Watch(int fd, Token token);
-  // Reports the descriptor once when it has input, then not until RearmOneShot. False if the system
-  // refused.
+  // Reports the descriptor once when it has input, and again only after RearmOneShot. Both return
+  // false on a system error.
   bool WatchOneShot(int fd, Token token);
   bool RearmOneShot(int fd, Token token);
 
-  // Waits until a descriptor is ready or the time has passed; no time: waits for as long as it
-  // takes. The tokens of the ready ones are valid until the next call; none after a signal.
+  // Waits until a descriptor is ready or the timeout has passed; without a timeout it waits without
+  // a limit. Returns the tokens of the ready descriptors, valid until the next call; none if a
+  // signal interrupted the call.
   std::span<const Token> Wait(std::optional<std::chrono::milliseconds> timeout);
 
  private:
-  // More are reported by the next call.
+  // Further ready descriptors are reported by the next call.
   static constexpr std::size_t kMaxReadyPerWait = 64;
 
   Socket epoll_;
   std::array<Token, kMaxReadyPerWait> ready_{};
 };
 
-// Makes a descriptor readable, from any thread, until it is cleared.
+// A descriptor that any thread can make readable, until it is cleared.
 class WakeupEvent {
  public:
   // Throws std::runtime_error if the system has no descriptor left.
@@ -53,8 +54,8 @@
   [[nodiscard]] int fd() const { return event_.fd(); }
   // Never waits.
   void Signal();
-  // For the thread that polls it, and only after it was reported as ready: waits for a signal
-  // otherwise.
+  // To be called by the polling thread, after the descriptor was reported as ready. No effect
+  // without a signal.
   void Clear();
 
  private:
--- a/src/net/segment_times.cpp
+++ b/src/net/segment_times.cpp
@@ -16,15 +16,16 @@
 constexpr int kWantedTimes = SOF_TIMESTAMPING_TX_SOFTWARE | SOF_TIMESTAMPING_RX_SOFTWARE |
                              SOF_TIMESTAMPING_SOFTWARE | SOF_TIMESTAMPING_OPT_ID |
                              SOF_TIMESTAMPING_OPT_TSONLY;
-// Between two looks at both clocks; a step of the wall clock is longer.
+// Maximum deviation between two readings of the offset of the clocks; a larger one is a step of the
+// wall clock.
 constexpr std::chrono::microseconds kMaxClockError{50};
 constexpr int kMaxClockReadings = 3;
 constexpr std::size_t kControlBytes = 256;
 
-// What the kernel says of one segment.
+// The kernel's timestamp of one segment.
 struct SegmentTime {
   std::optional<nanoseconds> at{};
-  std::optional<std::uint32_t> last_byte{};  // its number; only of a sent segment
+  std::optional<std::uint32_t> last_byte{};  // its number in the stream; only for a sent segment
 };
 
 template <typename T>
@@ -48,7 +49,8 @@
   }
 }
 
-// Receives at most `bytes` (0 or 1) without waiting. None if there is nothing.
+// Receives exactly `bytes` (0 or 1) with their timestamp, without waiting. Returns nothing if they
+// are not available.
 std::optional<SegmentTime> ReceiveTime(int fd, std::size_t bytes, int flags) {
   char byte = 0;
   iovec buffer{.iov_base = &byte, .iov_len = bytes};
@@ -68,7 +70,8 @@
   return segment;
 }
 
-// Read anew where this thread was held up between the clocks.
+// Returns the wall clock minus the steady clock. Reads the clocks again if this thread was delayed
+// between the two readings.
 nanoseconds ClockOffset() {
   nanoseconds offset{};
   for (int reading = 0; reading < kMaxClockReadings; ++reading) {
@@ -97,9 +100,10 @@
   if (!enabled_) return false;
   bool found = false;
   while (const auto segment = ReceiveTime(fd, 0, MSG_ERRQUEUE)) {
-    if (!segment->at) break;  // not what was asked for: this kernel has no such queue
+    if (!segment->at) break;  // not a timestamp: this kernel has no error queue for them
     found = true;
-    // A byte that is sent again has a later time as well, when its answer may have come.
+    // A retransmitted byte also gets a later time, at which its answer may already have been
+    // received, so the first time counts.
     const bool is_last = segment->last_byte == written_ - 1;
     if (is_last && !sent_at_) sent_at_ = segment->at;
   }
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -21,10 +21,10 @@
 namespace brassfront {
 namespace {
 
-// Connections that wait to be accepted; the system may allow fewer.
+// Maximum number of connections that wait to be accepted; the system may allow fewer.
 constexpr int kListenBacklog = 512;
-// Half a second of pauses. Then the next read or write has to tell, which a shutdown of the socket
-// ends; poll might not see that.
+// After this many failures, or half a second of pauses, the next read or write has to report the
+// error. A shutdown of the socket ends that call, while a failing poll might not notice it.
 constexpr int kMaxPollFailures = 50;
 constexpr std::chrono::milliseconds kMaxPollTimeout{1 << 30};  // poll(2) takes an int
 
@@ -49,7 +49,7 @@
   return std::string(host.data()) + ":" + std::to_string(ntohs(address.sin_port));
 }
 
-// A datagram socket that bind(2) or connect(2) has given the address.
+// Returns a datagram socket to which `attach`, bind(2) or connect(2), has assigned the address.
 Socket OpenDatagramSocket(const std::string& text, int (*attach)(int, const sockaddr*, socklen_t)) {
   const auto address = ParseAddress(text);
   if (!address) return {};
@@ -74,12 +74,12 @@
   return opened;
 }
 
-// How long one transfer waits for a shortage to pass.
+// Limits how long one transfer waits for a resource shortage to pass.
 class ShortageTimer {
  public:
-  // False until the first wait.
+  // Returns true on the first call only.
   [[nodiscard]] bool IsNew() { return std::exchange(is_new_, false); }
-  // Waits a little. False if it has waited for long enough, or until then.
+  // Pauses briefly. Returns false if the maximum wait or `until` has passed.
   bool Wait(SteadyTime until) {
     const SteadyTime now = std::chrono::steady_clock::now();
     if (give_up_at_ == SteadyTime{}) give_up_at_ = now + kMaxShortage;
@@ -106,7 +106,7 @@
   return observe::Concern::kPlatform;
 }
 
-// In milliseconds for poll(2); -1: without end.
+// Returns the timeout for poll(2) in milliseconds; -1 means no timeout.
 int PollTimeout(SteadyTime until) {
   using std::chrono::milliseconds;
   if (until == SteadyTime::max()) return -1;
@@ -125,7 +125,7 @@
   while (failures < kMaxPollFailures) {
     pollfd wanted{fd_, events, 0};
     const int ready = poll(&wanted, 1, PollTimeout(until));
-    // A timestamp of a sent segment shows as an error, and is none.
+    // poll reports the timestamp of a sent segment as an error, but it is not one.
     if (ready > 0 && wanted.revents == POLLERR && segment_times_.ReadSent(fd_)) continue;
     if (ready > 0) return true;
     if (ready == 0) return false;
@@ -194,7 +194,7 @@
   tcp_info info{};
   socklen_t length = sizeof info;
   if (getsockopt(fd_, IPPROTO_TCP, TCP_INFO, &info, &length) != 0) {
-    // Nothing is known then: the next write tells.
+    // The state is unknown; the next write reports whether the connection still works.
     observe::CountSystemCallFailure("getsockopt", errno);
     return false;
   }
@@ -210,10 +210,12 @@
   if (!to) errno = EINVAL;
   if (!to || !socket.is_open()) return false;
   const SteadyTime until = std::chrono::steady_clock::now() + limit;
-  if (!SetTimeout(socket.fd(), SO_SNDTIMEO, limit)) return false;  // connect would take minutes
+  // Without a timeout, connect could take minutes.
+  if (!SetTimeout(socket.fd(), SO_SNDTIMEO, limit)) return false;
   while (connect(socket.fd(), reinterpret_cast<const sockaddr*>(&*to), sizeof *to) != 0) {
     if (errno == EISCONN) break;
-    // An interrupted connect goes on by itself: the next call waits for it, or tells how it ended.
+    // An interrupted connect continues in the background: the next call waits for it or returns its
+    // result.
     const bool goes_on = errno == EINTR || errno == EALREADY;
     if (!goes_on) observe::CountSystemCallFailure("connect", errno);
     if (!goes_on || std::chrono::steady_clock::now() >= until) return false;
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -1,5 +1,5 @@
-// Blocking sockets over IPv4, and what is done with them. Addresses are texts of the form
-// IPv4:PORT; names are not resolved.
+// Blocking IPv4 sockets and operations on them. Addresses are strings of the form IPv4:PORT; host
+// names are not resolved.
 #ifndef BRASSFRONT_NET_SOCKET_HPP_
 #define BRASSFRONT_NET_SOCKET_HPP_
 
@@ -20,8 +20,8 @@
 
 using SteadyTime = std::chrono::steady_clock::time_point;
 
-// Owns a descriptor and closes it. For one thread at a time; another one may end what it is blocked
-// on by ShutDown, if it makes sure that the socket is not closed meanwhile.
+// Owns a descriptor and closes it when destroyed. Not thread-safe, but another thread may interrupt
+// a blocking call with ShutDown if it ensures that the socket is not closed at the same time.
 class Socket {
  public:
   Socket() = default;
@@ -39,30 +39,31 @@
   [[nodiscard]] bool is_open() const { return fd_ >= 0; }
   void Close();
 
-  // From now on the kernel notes when bytes are sent and received, where it can. For a connection
-  // that has come up and on which nothing was written.
+  // Makes the kernel record when bytes are sent and received, if it supports this. To be called on
+  // an established connection on which nothing has been written.
   void RecordSegmentTimes() { segment_times_.Enable(fd_); }
-  // Whether the unread input was received before the last byte written was sent, so that it is no
-  // answer to that. False where the kernel does not tell.
+  // True if the unread input was received before the last written byte was sent, so that it is not
+  // an answer to it. False if the kernel does not provide the times.
   [[nodiscard]] bool InputPrecedesWrite() { return segment_times_.InputPrecedesWrite(fd_); }
 
-  // False if not all of the bytes could be written by then. A shortage of this machine's memory is
-  // waited out, for a second at most.
+  // Returns false if not all of the bytes could be written by `until`. Retries for at most a
+  // second while this machine is short of memory.
   bool SendAll(std::string_view bytes, SteadyTime until = SteadyTime::max());
-  // Waits for input or the peer's end; false if neither came by then. True at an error as well: the
-  // next read or write tells which.
+  // Waits until there is input or the peer has closed the connection; returns false on a timeout.
+  // Also returns true on an error, which the next read or write reports.
   [[nodiscard]] bool AwaitInput(SteadyTime until) const;
-  // Each returns the bytes read, 0 at the peer's end, and -1 at an error; errno is EAGAIN then if
-  // nothing came in time (Receive), or has come by now or could be read for want of memory
-  // (ReceiveNow).
+  // Both return the number of bytes read, 0 if the peer has closed the connection, or -1 on an
+  // error. errno is EAGAIN if there was no input before the socket's timeout (Receive), or if there
+  // is none now or this machine is short of memory (ReceiveNow).
   ssize_t Receive(std::span<char> into);
   ssize_t ReceiveNow(std::span<char> into);
-  // True if input, the peer's end or an error has come. An idle connection is not usable then.
+  // True if there is input or an error, or if the peer has closed the connection. In each of these
+  // cases an idle connection can't be used again.
   [[nodiscard]] bool HasInputOrEnd() const;
-  // True if unread input has come.
+  // True if there is unread input.
   [[nodiscard]] bool HasInput() const;
-  // True if the peer has closed or reset the connection, by TCP's state: unread input does not
-  // matter, nor what this side has shut down.
+  // True if the peer has closed or reset the connection according to its TCP state, even if there
+  // is unread input. Shutting down reading on this side does not matter.
   [[nodiscard]] bool PeerHasEnded() const;
 
  private:
@@ -70,43 +71,43 @@
   [[nodiscard]] bool Await(std::int16_t events, SteadyTime until) const;
 
   int fd_ = -1;
-  mutable SegmentTimes segment_times_;  // what poll(2) shows as an error is read into it
+  mutable SegmentTimes segment_times_;  // mutable, as polling reads timestamps into it
 };
 
 // True if the text is IPv4:PORT.
 [[nodiscard]] bool IsAddress(const std::string& address);
 
-// A stream socket that is not connected yet, so that another thread may shut it down while Connect
-// blocks. Closed if the system has no descriptor left.
+// Returns a stream socket that is not connected yet, so that another thread may shut it down while
+// Connect blocks. It is closed if the system has no descriptor left.
 [[nodiscard]] Socket NewSocket();
-// False if the connection did not come up within the limit; errno tells why.
+// Returns false, and sets errno, if the connection could not be established within the limit.
 [[nodiscard]] bool Connect(const Socket& socket, const std::string& address,
                            std::chrono::milliseconds limit);
 
 // Whether Accept waits for a connection, or fails with EAGAIN if there is none.
 enum class AcceptMode { kBlocking, kNonBlocking };
-// Closed if the address can't be listened on; errno tells why.
+// Returns a listening socket, or a closed one with errno set if that fails.
 [[nodiscard]] Socket Listen(const std::string& address, AcceptMode mode = AcceptMode::kBlocking);
-// The socket's own address, with the port that the system chose if port 0 was asked for.
+// Returns the socket's own address, with the port chosen by the system if port 0 was requested.
 [[nodiscard]] std::string LocalAddress(const Socket& listener);
-// The address of the socket's other side.
+// Returns the address of the peer.
 [[nodiscard]] std::string PeerAddress(const Socket& connection);
-// Closed if there is none; errno tells why.
+// Returns an accepted connection, or a closed socket with errno set if there is none.
 [[nodiscard]] Socket Accept(const Socket& listener);
-// From now on calls on the socket fail with EAGAIN instead of waiting.
+// Makes calls on the socket fail with EAGAIN instead of waiting.
 void SetNonBlocking(const Socket& socket);
 
-// Datagram sockets that are bound or connected to an address; closed if that is not possible, and
-// errno tells why.
+// Return a datagram socket that is bound or connected to an address, or a closed one with errno set
+// if that fails.
 [[nodiscard]] Socket BindDatagrams(const std::string& address);
 [[nodiscard]] Socket ConnectDatagrams(const std::string& address);
 
-// Shuts down both directions, which ends whatever a thread is blocked on with this descriptor. It
-// must not be closed meanwhile.
+// Shuts down both directions, which ends any blocking call of a thread on this descriptor. The
+// descriptor must not be closed at the same time.
 void ShutDown(int fd);
 
-// Writes the one line of the log that each connection leaves at its end; docs/logging.md has the
-// words. `peer` is left out if it is empty.
+// Writes the log line that each connection gets when it ends; docs/logging.md lists the values. An
+// empty `peer` is omitted.
 void LogConnectionEnd(std::string_view side, std::string_view peer, std::string_view reason,
                       std::size_t exchanges);
 
--- a/src/net/standby_switch.hpp
+++ b/src/net/standby_switch.hpp
@@ -1,4 +1,4 @@
-// Whether the forwarder stands by: it is kept running while its clients are sent elsewhere.
+// Whether the forwarder is in standby: it keeps running while its clients are sent elsewhere.
 #ifndef BRASSFRONT_NET_STANDBY_SWITCH_HPP_
 #define BRASSFRONT_NET_STANDBY_SWITCH_HPP_
 
@@ -10,10 +10,10 @@
 
 namespace brassfront {
 
-// Any thread may call any method.
+// Thread-safe.
 class StandbySwitch {
  public:
-  // False if it was so already.
+  // Returns false if the switch already had this value.
   bool Set(bool standing_by, SteadyTime now) {
     const std::lock_guard lock(mutex_);
     if (since_.has_value() == standing_by) return false;
@@ -24,7 +24,7 @@
     const std::lock_guard lock(mutex_);
     return since_.has_value();
   }
-  // True if it has been on, without a break, for at least this long.
+  // True if standby has been on without interruption for at least this long.
   [[nodiscard]] bool HasBeenOnFor(std::chrono::milliseconds duration, SteadyTime now) const {
     const std::lock_guard lock(mutex_);
     return since_ && now - *since_ >= duration;
--- a/src/net/unsettled_answers.cpp
+++ b/src/net/unsettled_answers.cpp
@@ -65,8 +65,9 @@
   });
 }
 
-// Whether a call is out that was written behind the answer, and none that was written long enough
-// behind it has been answered: the endpoint may have fallen silent ahead of the answer.
+// True if a call that was written after the answer is in flight, and no call that was written at
+// least kSettleTime after the answer has been answered: the endpoint may have become silent before
+// it sent the true answer.
 bool UnsettledAnswers::AwaitsLaterCall(const Answer& answer) const {
   const auto found = endpoints_.find(answer.endpoint);
   if (found == endpoints_.end()) return false;
--- a/src/net/unsettled_answers.hpp
+++ b/src/net/unsettled_answers.hpp
@@ -1,9 +1,9 @@
-// Answers that may turn out to be those of earlier requests. An endpoint that writes a second
-// answer which nobody asked for may write it behind the next request on the same connection, where
-// it reads as the answer to that request; the true one comes behind it, on a connection that seems
-// idle, or never, where the endpoint has fallen silent. So an answer on a reused connection is
-// settled once its connection has rested without input, and its endpoint has not fallen silent
-// behind it.
+// Answers that may turn out to belong to earlier requests. A faulty endpoint may send a second,
+// unsolicited answer to a request. If it arrives after the next request on the same connection, it
+// is read as the answer to that request. The true answer then follows on a connection that seems
+// idle, or never comes if the endpoint has become silent. So an answer on a reused connection is
+// settled only once its connection has been idle for a while without input, and its endpoint has
+// not become silent after it.
 #ifndef BRASSFRONT_NET_UNSETTLED_ANSWERS_HPP_
 #define BRASSFRONT_NET_UNSETTLED_ANSWERS_HPP_
 
@@ -22,24 +22,26 @@
 
 enum class AnswerCertainty {
   kUnsettled,
-  kCertain,   // nothing speaks against it
+  kCertain,   // it is the answer to its request
   kDoubtful,  // it may be the answer to an earlier request
 };
 
-// Shared by whoever holds the answer, who reads it, and UnsettledAnswers, which changes it once.
+// Shared by the owner of the answer, which reads it, and UnsettledAnswers, which changes it once.
 using SharedAnswerCertainty = std::shared_ptr<std::atomic<AnswerCertainty>>;
 
-// Of the connections of one pool. Knows no clock and no lock: times are the caller's. Endpoints and
-// connections are known by their numbers.
+// The unsettled answers of the connections of one pool. It has no clock and no lock: the caller
+// passes the times. Endpoints and connections are identified by their ids.
 class UnsettledAnswers {
  public:
   using ConnectionId = std::uint64_t;
   using EndpointId = std::uint64_t;
 
-  // An answer is settled no earlier than when its connection has rested for so long behind it. A
-  // call that is written so long behind it is not answered by what was to be answered before.
+  // An answer is settled no earlier than when its connection has been idle for this long after it.
+  // An answer to a call that was written at least this long after it belongs to that call, not to
+  // an earlier one.
   static constexpr std::chrono::milliseconds kSettleTime{100};
-  // A connection may be reused without rest until its oldest answer that did not rest is so old.
+  // A connection may be reused before it has been idle for kSettleTime, until its oldest unsettled
+  // answer has reached this age.
   static constexpr std::chrono::milliseconds kMaxUnsettledTime{250};
 
   // ---- calls, on any connection ----
@@ -48,30 +50,31 @@
     endpoints_[endpoint].calls_out.insert(now);
   }
   enum class CallEnd { kAnswered, kSilent, kOther };
-  // The call that was written then has ended. kSilent: this side has given it up, and nothing of an
-  // answer had come; what the endpoint has answered ahead of it is doubtful, unless it answered a
-  // call that was written kSettleTime behind that.
+  // The call that was written at `written_at` has ended. kSilent: it was given up without any byte
+  // of an answer. The unsettled answers that the endpoint gave before it are then doubtful, except
+  // those after which the endpoint has answered a call written at least kSettleTime later.
   void OnCallEnded(EndpointId endpoint, SteadyTime written_at, CallEnd end, SteadyTime now);
 
   // ---- reused connections ----
 
-  // An answer has come at `now` on a connection that is in use.
+  // An answer was received at `now` on a connection that is in use.
   [[nodiscard]] SharedAnswerCertainty Add(ConnectionId connection, EndpointId endpoint,
                                           SteadyTime now);
-  // The connection that was in use has begun to rest, or was closed.
+  // The connection was in use, and has become idle or was closed.
   void OnRest(ConnectionId connection, SteadyTime now);
-  // The connection, on which no input was seen, is used again.
+  // The connection is used again; no input was seen on it while it was idle.
   void OnReuse(ConnectionId connection, SteadyTime now);
-  // Input that nobody had asked for has come from this endpoint: its unsettled answers are
-  // doubtful, on each of its connections.
+  // Unsolicited input was received from this endpoint: its unsettled answers on all connections are
+  // doubtful.
   void OnUnaskedInput(EndpointId endpoint);
-  // Settles what can be settled by now. To be called after the connections for which IsUnrested
-  // were looked at for input.
+  // Settles the answers that can be settled by now. To be called after the connections for which
+  // IsUnrested is true were checked for input.
   void Settle(SteadyTime now);
 
-  // Whether the connection has not rested yet behind an unsettled answer.
+  // True if the connection has an unsettled answer after which it has not been idle for
+  // kSettleTime.
   [[nodiscard]] bool IsUnrested(ConnectionId connection) const;
-  // The connection has to rest before it is used again.
+  // True if the connection must be idle for kSettleTime before it is used again.
   [[nodiscard]] bool NeedsRest(ConnectionId connection, SteadyTime now) const;
 
  private:
@@ -79,7 +82,7 @@
     ConnectionId connection = 0;
     EndpointId endpoint = 0;
     SteadyTime came_at{};
-    std::optional<SteadyTime> rests_since{};  // none: the connection is in use
+    std::optional<SteadyTime> rests_since{};  // no value while the connection is in use
     bool has_rested = false;
     SharedAnswerCertainty certainty{};
 
@@ -88,8 +91,8 @@
     }
   };
   struct EndpointCalls {
-    std::multiset<SteadyTime> calls_out{};  // when they were written
-    SteadyTime last_answered_call{};        // when it was written
+    std::multiset<SteadyTime> calls_out{};  // by the time at which they were written
+    SteadyTime last_answered_call{};        // the time at which it was written
   };
 
   [[nodiscard]] static bool HasAnsweredSince(const EndpointCalls& calls, const Answer& answer) {
@@ -98,7 +101,7 @@
   [[nodiscard]] bool AwaitsLaterCall(const Answer& answer) const;
 
   std::vector<Answer> answers_;
-  std::map<EndpointId, EndpointCalls> endpoints_;  // with calls out, or with unsettled answers
+  std::map<EndpointId, EndpointCalls> endpoints_;  // with calls in flight or unsettled answers
 };
 
 }  // namespace brassfront
--- a/src/protocol/delivery_request.cpp
+++ b/src/protocol/delivery_request.cpp
@@ -8,9 +8,10 @@
 namespace {
 
 constexpr std::size_t kMaxName = 128;
-constexpr std::uint64_t kMaxTimeLeft = 24ULL * 3600 * 1000;  // ms; a day
+constexpr std::uint64_t kMaxTimeLeft = 24ULL * 3600 * 1000;  // milliseconds; one day
 
-// Ids and keys go into HTTP header lines. Guards against a line break that forges one.
+// Ids and keys are written into HTTP headers: the check prevents a line break from injecting a
+// header.
 std::string Name(std::string_view text, const char* what) {
   const bool fit = !text.empty() && text.size() <= kMaxName &&
                    std::all_of(text.begin(), text.end(), [](char c) { return c > 32 && c < 127; });
@@ -52,7 +53,7 @@
       has_destination = true;
     } else if (name == "k") {
       request.key = Name(value, "key");
-    } else if (name != "r" && name != "again") {  // marks of repeats: nothing here needs them
+    } else if (name != "r" && name != "again") {  // repeat markers, which are not needed here
       throw InvalidDeliveryRequest("unknown field");
     }
   }
--- a/src/protocol/delivery_request.hpp
+++ b/src/protocol/delivery_request.hpp
@@ -1,4 +1,4 @@
-// An request: what a client hands in, whatever protocol it came by.
+// A delivery request: what a client submits, independent of the client protocol.
 #ifndef BRASSFRONT_PROTOCOL_DELIVERY_REQUEST_HPP_
 #define BRASSFRONT_PROTOCOL_DELIVERY_REQUEST_HPP_
 
@@ -16,22 +16,23 @@
 
 struct DeliveryRequest {
   std::string id;
-  std::string key;  // the idempotency key; empty: none
+  std::string key;  // the idempotency key; empty if there is none
   std::string class_name;
-  std::string tenant_name;  // empty: the first
+  std::string tenant_name;  // empty: the first configured tenant
   std::uint64_t destination = 0;
-  std::chrono::milliseconds time_left{};  // from `received_at` on
+  std::chrono::milliseconds time_left{};  // counted from `received_at`
   std::string body;
-  // When its last byte came, or earlier where that is not known; none: at its submission.
+  // When its last byte was received, or an earlier time where that is not known. Without a value
+  // the time of submission counts.
   std::optional<std::chrono::steady_clock::time_point> received_at{};
 };
 
-// What the client is told in answer; the text is for people.
+// Its text is the error reply to the client, for human readers.
 class InvalidDeliveryRequest : public std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// The words of `MSG.PUT ZEROS ID FIELDS BODY`; throws InvalidDeliveryRequest.
+// Parses the words of the command `MSG.PUT ZEROS ID FIELDS BODY`. Throws InvalidDeliveryRequest.
 DeliveryRequest ParseDeliveryRequest(std::vector<std::string>&& words);
 
 }  // namespace brassfront
--- a/src/protocol/discovery.cpp
+++ b/src/protocol/discovery.cpp
@@ -58,7 +58,7 @@
 bool ObjectCutter::Take(char byte) {
   const bool is_space = byte == ' ' || byte == '\t' || byte == '\r';
   if (depth_ == 0 && byte == '\n') {
-    // The end of the line on which an object ended is no empty line.
+    // The line break that follows an object does not count as an empty line.
     return !std::exchange(after_object_, false) || !piece_.empty();
   }
   if (depth_ == 0 && piece_.empty() && is_space) return false;
@@ -68,7 +68,8 @@
     escaped_ = !escaped_ && byte == '\\';
     return false;
   }
-  // Between objects only an opening brace begins one; any other text is a line of its own.
+  // Between objects, only an opening brace begins a new object; any other text is collected as a
+  // separate line.
   const bool begins = depth_ == 0 && piece_.size() == 1 && byte == '{';
   if (depth_ == 0 && !begins) return false;
   if (byte == '"') in_string_ = true;
--- a/src/protocol/discovery.hpp
+++ b/src/protocol/discovery.hpp
@@ -1,4 +1,4 @@
-// Discovery's lists and the stream of its watch.
+// Endpoint lists of discovery, and the splitting of its watch stream into lists.
 #ifndef BRASSFRONT_PROTOCOL_DISCOVERY_HPP_
 #define BRASSFRONT_PROTOCOL_DISCOVERY_HPP_
 
@@ -21,13 +21,13 @@
   std::uint64_t destination = 0;
   Phase phase = Phase::kReady;
   double weight = 1;
-  bool excluded = false;  // not the list's word: it is kept out whatever the list says
+  bool excluded = false;  // set by an exclusion, regardless of the list
 };
 
-// Whose word a list is.
+// Where an endpoint list comes from.
 enum class ListSource { kConfiguration, kDiscovery, kOperator, kOtherSources };
 
-// The word in the log.
+// Returns the name of the source in the log.
 [[nodiscard]] std::string_view ToString(ListSource source);
 
 struct MemberList {
@@ -39,32 +39,33 @@
 
 MemberList ReadMemberList(const json::Value& value);  // throws json::Error
 
-// Cuts a stream of JSON objects, in any layout and with empty lines between them, into their texts.
-// Byte-fed: a text may come in any parts.
+// Splits a stream of JSON objects, in any layout and with empty lines between them, into the text
+// of each object. The stream may be fed in chunks of any size.
 class ObjectCutter {
  public:
   static constexpr std::size_t kMaxObjectBytes = std::size_t{4} << 20;
 
   explicit ObjectCutter(std::size_t max_bytes = kMaxObjectBytes) : max_bytes_(max_bytes) {}
 
-  // The pieces that are complete with these bytes, in order: objects; an empty text for each empty
-  // line between them; and a line that begins no object, as it came.
+  // Returns the pieces that these bytes complete, in order: the text of each object, an empty text
+  // for each empty line between objects, and each other line that does not begin an object,
+  // unchanged.
   std::vector<std::string> Feed(std::string_view bytes);
-  // A piece is longer than the bound. Nothing is cut from then on.
+  // True if a piece was longer than the maximum. Feed returns nothing more after that.
   [[nodiscard]] bool broken() const { return broken_; }
-  // What has come of the piece that is not complete.
+  // Returns the bytes received so far of the incomplete piece.
   [[nodiscard]] const std::string& partial() const { return piece_; }
 
  private:
-  // What the byte means for the piece; true if it completes it.
+  // Processes one byte. Returns true if it completes the piece.
   bool Take(char byte);
 
   const std::size_t max_bytes_;
   std::string piece_;
-  std::size_t depth_ = 0;  // of open brackets and braces
+  std::size_t depth_ = 0;  // number of open brackets and braces
   bool in_string_ = false;
-  bool escaped_ = false;       // the byte before was a backslash in a string
-  bool after_object_ = false;  // in the rest of the line on which an object has ended
+  bool escaped_ = false;       // the previous byte was a backslash in a string
+  bool after_object_ = false;  // in the rest of the line on which an object ended
   bool broken_ = false;
 };
 
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -84,7 +84,7 @@
     case State::kHeaders:
       return line_.empty() ? EndHead() : TakeHeader();
     case State::kChunkSize: {
-      head_bytes_ = 0;  // the bound is for each line of a stream that stays open
+      head_bytes_ = 0;  // so that the limit counts per line of a stream that stays open
       const std::string_view size = Trim(std::string_view(line_).substr(0, line_.find(';')));
       if (!ParseSize(size, 16, bytes_due_) || bytes_due_ > max_body_) {
         state_ = State::kBroken;
@@ -127,7 +127,7 @@
 }
 
 void HttpReader::EndHead() {
-  if (status_ < 200) {  // an interim answer; the real one follows
+  if (status_ < 200) {  // an interim response; the final one follows
     status_ = 0;
     headers_.clear();
     state_ = State::kStatus;
--- a/src/protocol/http.hpp
+++ b/src/protocol/http.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 as a client reads and writes it: a state machine that is fed bytes, and request heads.
+// The client side of HTTP/1.1: an incremental response parser, and formatters of requests.
 #ifndef BRASSFRONT_PROTOCOL_HTTP_HPP_
 #define BRASSFRONT_PROTOCOL_HTTP_HPP_
 
@@ -10,18 +10,19 @@
 
 namespace brassfront {
 
+// Parses one response. It is fed the bytes of the connection, in chunks of any size.
 class HttpReader {
  public:
   explicit HttpReader(std::size_t max_body = 1 << 20) : max_body_(max_body) {}
 
-  // Takes any cut of the stream. What comes after the answer's end is passed over, and the
-  // connection cannot be used again.
+  // Accepts chunks of any size. Bytes after the end of the response are ignored, and keep_alive()
+  // is false after them.
   void Feed(std::string_view bytes);
-  // The peer ended the connection.
+  // The peer closed the connection.
   void FeedEnd();
 
-  [[nodiscard]] int status() const { return status_; }  // 0 until the first line has come whole
-  // Some of the answer has come, not only of an interim one before it.
+  [[nodiscard]] int status() const { return status_; }  // 0 until the status line is complete
+  // True if any byte of the response was received; interim (1xx) responses do not count.
   [[nodiscard]] bool begun() const {
     return state_ == State::kStatus ? !line_.empty() : state_ != State::kHeaders || status_ >= 200;
   }
@@ -31,12 +32,13 @@
   [[nodiscard]] bool done() const { return state_ == State::kDone; }
   [[nodiscard]] bool broken() const { return state_ == State::kBroken; }
   [[nodiscard]] bool keep_alive() const { return keep_alive_; }
-  // Bytes have come behind the answer's end.
+  // True if bytes were received after the end of the response.
   [[nodiscard]] bool has_surplus() const { return has_surplus_; }
   [[nodiscard]] std::string_view Header(
-      std::string_view name) const;  // name in lower case; empty if absent
+      std::string_view name) const;  // `name` in lower case; returns an empty value if absent
   [[nodiscard]] const std::string& body() const { return body_; }
-  // What has come of the body since the last call, for an answer that stays open.
+  // Returns and removes the part of the body received since the last call; for a response that
+  // stays open.
   std::string TakeBody() { return std::exchange(body_, {}); }
 
  private:
@@ -73,7 +75,7 @@
 
 using HttpHeaders = std::vector<std::pair<std::string_view, std::string>>;
 
-// A whole request; a POST always states its length.
+// Each formats a complete request; a POST always has a Content-Length header.
 std::string HttpPost(std::string_view path, std::string_view host, const HttpHeaders& headers,
                      std::string_view body);
 std::string HttpGet(std::string_view path, std::string_view host);
--- a/src/protocol/http_request.hpp
+++ b/src/protocol/http_request.hpp
@@ -1,4 +1,5 @@
-// HTTP/1.1 as a server reads it: one request, byte-fed, with bounds, and the reply to it.
+// The server side of HTTP/1.1: an incremental parser of one request, with size limits, and the
+// formatter of the reply.
 #ifndef BRASSFRONT_PROTOCOL_HTTP_REQUEST_HPP_
 #define BRASSFRONT_PROTOCOL_HTTP_REQUEST_HPP_
 
@@ -11,8 +12,8 @@
 
 struct HttpRequest {
   std::string method;
-  std::string path;   // without the query, as it came
-  std::string query;  // behind the question mark, as it came
+  std::string path;   // without the query, not decoded
+  std::string query;  // after the question mark, not decoded
 };
 
 class HttpRequestReader {
@@ -20,12 +21,13 @@
   static constexpr std::size_t kMaxHeadBytes = std::size_t{8} * 1024;
   static constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
 
-  // Takes any part of the stream. What comes behind the request's end is passed over.
+  // Accepts chunks of any size. Bytes after the end of the request are ignored.
   void Feed(std::string_view bytes);
 
-  // The request has come whole, or is known to be bad.
+  // True if the request is complete, or is known to be invalid.
   [[nodiscard]] bool done() const { return done_; }
-  // The status of the error if the request is bad: 400, 413 (body), 431 (head).
+  // Returns the HTTP status of the error if the request is invalid: 400, 413 (body too large) or
+  // 431 (head too large).
   [[nodiscard]] std::optional<int> error() const { return error_; }
   [[nodiscard]] const HttpRequest& request() const { return request_; }
 
@@ -43,11 +45,12 @@
   HttpRequest request_;
 };
 
-// The value of a parameter of the query, percent-decoded. None if it is absent or badly encoded.
+// Returns the percent-decoded value of a query parameter, or nothing if it is absent or its
+// encoding is invalid.
 [[nodiscard]] std::optional<std::string> QueryParameter(std::string_view query,
                                                         std::string_view name);
 
-// A whole reply, after which the connection is closed.
+// Formats a complete reply, after which the connection is closed.
 [[nodiscard]] std::string FormatHttpReply(int status, std::string_view body);
 
 }  // namespace brassfront
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -55,7 +55,7 @@
     return ANumber();
   }
 
-  // Guards against a text that nests deep enough to use up a small stack.
+  // Limits the nesting depth, as a deeply nested text could overflow a small stack.
   Value Nested(Value (Parser::*read)()) {
     if (depth_left_ == 0) Fail("nested too deep");
     --depth_left_;
@@ -65,7 +65,7 @@
     return value;
   }
 
-  // After an element: true if another follows, false at the closing mark.
+  // Called after an element. True if another element follows, false at the closing bracket.
   bool More(char close) {
     Space();
     if (Peek() == close) {
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -1,4 +1,5 @@
-// A strict reader of JSON with bounds, for configuration, discovery and answers to bundles.
+// A strict JSON parser with limits on size and depth, for the configuration, discovery and
+// responses to batches.
 #ifndef BRASSFRONT_PROTOCOL_JSON_HPP_
 #define BRASSFRONT_PROTOCOL_JSON_HPP_
 
@@ -19,7 +20,7 @@
 class Value {
  public:
   using Array = std::vector<Value>;
-  using Object = std::vector<std::pair<std::string, Value>>;  // in the order of the text
+  using Object = std::vector<std::pair<std::string, Value>>;  // in the order of the document
   using Data = std::variant<std::monostate, bool, double, std::string, Array, Object>;
 
   Value() = default;
@@ -28,9 +29,10 @@
   [[nodiscard]] bool IsNull() const { return std::holds_alternative<std::monostate>(data_); }
   [[nodiscard]] bool IsArray() const { return std::holds_alternative<Array>(data_); }
   [[nodiscard]] const Data& data() const { return data_; }
-  [[nodiscard]] const Value* Find(std::string_view name) const;  // null if absent or not an object
+  // Returns null if the member is absent, or if this is not an object.
+  [[nodiscard]] const Value* Find(std::string_view name) const;
 
-  // These throw Error, naming what was expected.
+  // These throw Error with the name or type that was expected.
   [[nodiscard]] const Value& At(std::string_view name) const;
   [[nodiscard]] const std::string& Text() const;
   [[nodiscard]] double Number() const;
@@ -47,10 +49,10 @@
   std::size_t depth = 32;
 };
 
-// Reads the whole text as one value; throws Error with the place of the fault.
+// Parses the complete text as one value. Throws Error with the byte offset of the error.
 Value Parse(std::string_view text, const Bounds& bounds = {});
 
-// The text as a JSON string, quotes included.
+// Formats the text as a JSON string, including the quotes.
 std::string Quote(std::string_view text);
 
 }  // namespace brassfront::json
--- a/src/protocol/resp.cpp
+++ b/src/protocol/resp.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr std::size_t kMaxWords = 64;
-constexpr std::size_t kMaxBesideBody = 4096;      // bytes of a command's other words
-constexpr std::size_t kMaxLine = 32;              // of a count
-constexpr std::size_t kMaxPassedOver = 16 << 20;  // of one word; more is no mistake in size
+constexpr std::size_t kMaxBesideBody = 4096;      // bytes of a command's other words, together
+constexpr std::size_t kMaxLine = 32;              // bytes of a line with a count
+constexpr std::size_t kMaxPassedOver = 16 << 20;  // bytes of a skipped word; more is an error
 
 std::optional<std::size_t> ParseCount(std::string_view line, char mark, std::size_t most) {
   if (line.empty() || line[0] != mark) return std::nullopt;
@@ -60,7 +60,7 @@
       EndWord();
     }
   } else if (state_ == State::kArray) {
-    if (line_.empty()) return;  // a stray line end between commands
+    if (line_.empty()) return;  // an empty line between commands is allowed
     const auto count = ParseCount(line_, '*', kMaxWords);
     if (!count) {
       state_ = State::kBroken;
@@ -77,7 +77,7 @@
       return;
     }
     bytes_due_ = *size;
-    // Guards against a command of many long words, from each of many clients at once.
+    // Limits the memory of many clients that each send a command of many long words at once.
     passing_over_ =
         *size > kMaxBodyBytes || command_bytes_ + *size > kMaxBodyBytes + kMaxBesideBody;
     if (!passing_over_) command_bytes_ += *size;
--- a/src/protocol/resp.hpp
+++ b/src/protocol/resp.hpp
@@ -1,4 +1,5 @@
-// RESP2 as a server reads and writes it: a state machine that is fed bytes and knows no socket.
+// The server side of RESP2: an incremental parser of commands, independent of sockets, and
+// formatters of replies.
 #ifndef BRASSFRONT_PROTOCOL_RESP_HPP_
 #define BRASSFRONT_PROTOCOL_RESP_HPP_
 
@@ -12,17 +13,17 @@
 
 struct RespCommand {
   std::vector<std::string> words;
-  bool oversize = false;  // it was longer than it may be; bytes were passed over
+  bool oversize = false;  // it exceeded a size limit, and words were skipped
 };
 
 class RespReader {
  public:
-  // Takes any cut of the stream. Commands that are complete wait in commands().
+  // Accepts chunks of any size. Complete commands are appended to commands().
   void Feed(std::string_view bytes);
   std::deque<RespCommand>& commands() { return commands_; }
-  // The framing is lost: nothing after this can be read.
+  // True after a framing error: nothing after it can be parsed.
   [[nodiscard]] bool broken() const { return state_ == State::kBroken; }
-  // Nothing of a further command has come.
+  // True if no byte of the next command has been received.
   [[nodiscard]] bool between_commands() const { return state_ == State::kArray && line_.empty(); }
 
  private:
@@ -36,12 +37,13 @@
   std::size_t words_due_ = 0;
   std::size_t bytes_due_ = 0;
   bool passing_over_ = false;
-  std::size_t command_bytes_ = 0;  // kept of its words
+  std::size_t command_bytes_ = 0;  // of the words of this command that were kept
   RespCommand command_;
   std::deque<RespCommand> commands_;
 };
 
-// One line of reply: `+text`, or `-CODE text`, never with a line break inside.
+// Format a reply: `+text`, `-CODE text` or a bulk string. Line breaks within the text of the first
+// two become spaces.
 std::string RespSimple(std::string_view text);
 std::string RespError(std::string_view code, std::string_view text);
 std::string RespBulk(std::string_view text);
