--- a/src/net/client_commands.cpp
+++ b/src/net/client_commands.cpp
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kReplyTimeout{500};  // how long a client that does not read may block a worker
+constexpr milliseconds kReplyTimeout{500};  // an unread reply may block a worker for this time
 // Replies to pipelined commands are collected up to this size, so that one system call writes
 // hundreds of them.
 constexpr std::size_t kMaxPendingReplyBytes = std::size_t{16} * 1024;
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -71,7 +71,7 @@
   [[nodiscard]] bool Await(std::int16_t events, SteadyTime until) const;
 
   int fd_ = -1;
-  mutable SegmentTimes segment_times_;  // mutable, as polling reads timestamps into it
+  mutable SegmentTimes segment_times_;  // mutable, for timestamps reported by poll(2)
 };
 
 // True if the text is IPv4:PORT.
--- a/tests/network/backoff_test.cpp
+++ b/tests/network/backoff_test.cpp
@@ -1,4 +1,4 @@
-// Delays after failures: by themselves, and of a hundred clients of one service in virtual time.
+// Tests the backoff delays alone, and with a hundred clients of one service in virtual time.
 #include "net/backoff.hpp"
 
 #include <doctest/doctest.h>
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-TEST_CASE("delays double up to the maximum with jitter, and a reset starts anew") {
+TEST_CASE("delays double up to the maximum with jitter, and start again after a reset") {
   Backoff backoffs(milliseconds(100), milliseconds(1000), 7);
   for (const int mean : {100, 200, 400, 800, 1000, 1000}) {
     const auto delay = backoffs.NextDelay();
@@ -29,7 +29,7 @@
   CHECK(none.NextDelay() == milliseconds(0));
 }
 
-TEST_CASE("clients that failed at one moment return spread out") {
+TEST_CASE("clients that failed at the same moment retry at different times") {
   std::map<milliseconds, int> at;
   for (std::uint64_t seed = 0; seed < 100; ++seed) {
     ++at[Backoff(milliseconds(1000), milliseconds(4000), seed).NextDelay() / 100];
@@ -37,9 +37,9 @@
   for (const auto& [tenth, count] : at) CHECK(count <= 25);
 }
 
-// A service that answers so many requests a second and rejects the rest; a rejected request costs
-// it half of an answered one.
-TEST_CASE("an overloaded service has soon served a hundred clients that started at once") {
+// The simulated service answers a limited number of requests per second and rejects the rest. A
+// rejected request costs it half as much as an answered one.
+TEST_CASE("an overloaded service soon serves a hundred clients that started at once") {
   constexpr int kClients = 100;
   constexpr double kRequestsPerSecond = 30;
   std::vector<Backoff> backoffs;
--- a/tests/network/client_connection_table_test.cpp
+++ b/tests/network/client_connection_table_test.cpp
@@ -1,4 +1,4 @@
-// Which connection is closed next, at times that the tests choose; no socket is open.
+// Tests which connection is closed next. The tests set the time; no socket is open.
 #include "net/client_connection_table.hpp"
 
 #include <doctest/doctest.h>
@@ -17,7 +17,7 @@
 
 class Fixture {
  public:
-  // A connection that has been idle since then, and has submitted a message or not.
+  // Adds a connection that has been idle since the given time.
   ClientConnection& AddIdle(milliseconds since, bool has_submitted_message = false) {
     ClientConnection& connection = table.Add(Socket(), kStart + since);
     connection.commands = has_submitted_message ? 1 : 0;
@@ -117,7 +117,7 @@
   CHECK(table.FindEvictable(kStart + milliseconds(500)) == nullptr);
 }
 
-TEST_CASE_FIXTURE(Fixture, "a connection that is being served is in no order") {
+TEST_CASE_FIXTURE(Fixture, "a connection that is being served is neither idle nor expires") {
   ClientConnection& serving = AddIdle(milliseconds(0), true);
   table.Unschedule(serving);
   serving.state = State::kServing;
@@ -129,7 +129,7 @@
   CHECK(table.size() == 1);
 }
 
-TEST_CASE_FIXTURE(Fixture, "a drain closes those that have been answered, not new ones") {
+TEST_CASE_FIXTURE(Fixture, "a drain closes connections that have been answered, not new ones") {
   AddIdle(milliseconds(0));
   const ClientConnection& answered = AddIdle(milliseconds(0), true);
   AddLingering(milliseconds(0));
--- a/tests/network/client_server_test.cpp
+++ b/tests/network/client_server_test.cpp
@@ -1,5 +1,5 @@
-// The client server against clients on loopback that behave badly. What is waited for has no limit
-// of its own: only a failure would wait without end.
+// Tests the client server with misbehaving clients on loopback. The waits have no timeout: only a
+// failure makes a test wait forever.
 #include "net/client_server.hpp"
 
 #include <doctest/doctest.h>
@@ -19,7 +19,7 @@
 constexpr std::string_view kPut =
     "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$1\r\ni\r\n$14\r\nc=n,d=1,dest=1\r\n$1\r\nx\r\n";
 
-// Refuses, or accepts everything; counts what it is seen.
+// Rejects or accepts every request, and counts the calls.
 class CountingAcceptor : public MessageAcceptor {
  public:
   SubmitResult Submit(DeliveryRequest request) override {
@@ -34,8 +34,9 @@
   void OnClientDisconnected(std::uint64_t) override { ++disconnected; }
 
   bool accepts = false;
-  std::function<void()> meanwhile;  // before each answer
-  // Of all requests. Read once their replies have come, and only of clients one behind the other.
+  std::function<void()> meanwhile;  // called before each result is returned
+  // Of all requests. Not thread-safe: one client may send at a time, and the test reads it only
+  // after the replies were received.
   std::vector<SteadyTime> received_at;
   std::atomic<int> accepted{0}, acknowledged{0}, disconnected{0};
 };
@@ -53,11 +54,12 @@
     socket.SendAll(says);
     return socket;
   }
-  // A client may read its reply before the worker has returned its connection to the idle ones.
+  // Waits for the number of idle connections: a client may read its reply before the worker has
+  // returned its connection.
   void AwaitIdle(std::size_t connections) {
     while (server->idle_connections() != connections) std::this_thread::yield();
   }
-  // All that comes up to the close.
+  // Returns everything received until the connection is closed.
   static std::string ToTheEnd(Socket& socket) {
     std::string got;
     char byte = 0;
@@ -84,17 +86,17 @@
     Socket client = Client(says);
     CHECK(ToTheEnd(client).starts_with("-ERR "));
   }
-  Socket later = Client(std::string(kPing) + "*1\r\n$4");  // a later command is bound as well
+  Socket later = Client(std::string(kPing) + "*1\r\n$4");  // later commands are limited too
   CHECK(Line(later) == "+PONG\r\n");
   CHECK(ToTheEnd(later).starts_with("-ERR "));
 }
 
 TEST_CASE_FIXTURE(Fixture,
-                  "a client that trickles a command is closed after the total command time") {
+                  "a client that sends single bytes is closed after the total command time") {
   Start({.connections = 8, .command = std::chrono::milliseconds(200), .idle = kNever});
   Socket client = Client("*1\r\n$1000000\r\n");
   std::string got;
-  while (got.empty()) {  // one byte at a time, far more often than the bound
+  while (got.empty()) {  // one byte at a time, at intervals far below the limit
     client.SendAll("x");
     if (client.AwaitInput(std::chrono::steady_clock::now() + std::chrono::milliseconds(5))) {
       got = Line(client);
@@ -110,14 +112,14 @@
 }
 
 TEST_CASE_FIXTURE(Fixture,
-                  "a new connection evicts one without a message first, then an idle one") {
+                  "a new connection evicts connections without a message first, then others") {
   Start({.connections = 3,
          .command = kNever,
          .idle = kNever,
          .min_idle_before_first_message = std::chrono::milliseconds(0),
          .min_idle = std::chrono::milliseconds(0)});
   Socket used = Client(kPut);
-  CHECK(Line(used) == "-BUSY\r\n");  // what the acceptor answers
+  CHECK(Line(used) == "-BUSY\r\n");  // the acceptor rejects it
   Socket pinged = Client(kPing);
   CHECK(Line(pinged) == "+PONG\r\n");
   Socket silent = Client();
@@ -129,7 +131,7 @@
   }
   CHECK(ToTheEnd(pinged).empty());
   CHECK(ToTheEnd(silent).empty());
-  CHECK(ToTheEnd(used).empty());  // the last of them, for the third newcomer
+  CHECK(ToTheEnd(used).empty());  // evicted last, for the third new connection
 }
 
 TEST_CASE_FIXTURE(Fixture, "the longest idle connection is closed when too many are idle") {
@@ -162,9 +164,9 @@
   CHECK(ToTheEnd(third) == "-BUSY 1000\r\n");
 }
 
-// A drain, like a newcomer that needs the place, stops the reading of idle connections. A command
-// may have come just before, and is then read all the same: its answer is recovered.
-TEST_CASE("a command that crosses a drain is either answered or was not executed") {
+// A drain stops the reading of idle connections, and so does a new connection that needs their
+// place. A command that was received just before must still be read and answered.
+TEST_CASE("a command sent at the same time as a drain is answered, or was not executed") {
   int crossed = 0;
   for (int round = 0; round < 1000; ++round) {
     Fixture fixture;
@@ -173,7 +175,7 @@
     Socket client = fixture.Client(kPing);
     REQUIRE(Fixture::Line(client) == "+PONG\r\n");
     client.SendAll(kPut);
-    fixture.server->Drain();  // mostly before the thread has woken up
+    fixture.server->Drain();  // usually before the poll loop has woken up
     const std::string answer = Fixture::ToTheEnd(client);
     fixture.server.reset();
     CHECK(fixture.acceptor.disconnected == 0);
@@ -192,9 +194,10 @@
   for (int i = 0; i < 600; ++i) REQUIRE(Line(client) == "+PONG\r\n");
 }
 
-// Guards against the time that commands of one connection wait for each other being added to the
-// time of their messages.
-TEST_CASE_FIXTURE(Fixture, "pipelined commands count from the moment at which they were read") {
+// Guards against extending the deadline of a message by the time for which its command waited for
+// earlier commands on the same connection.
+TEST_CASE_FIXTURE(Fixture,
+                  "the time of pipelined commands counts from the moment when they were read") {
   Start({.connections = 4});
   acceptor.meanwhile = [] { std::this_thread::sleep_for(std::chrono::milliseconds(1)); };
   Socket client = Client(std::string(kPut) + std::string(kPut) + std::string(kPut));
@@ -204,7 +207,7 @@
   CHECK(acceptor.received_at[0] == acceptor.received_at[2]);
 }
 
-TEST_CASE_FIXTURE(Fixture, "a command that came while others were served counts from their read") {
+TEST_CASE_FIXTURE(Fixture, "the time of a command received during others counts from their read") {
   Start({.connections = 4});
   Socket client = Client();
   bool sent = false;
@@ -220,33 +223,34 @@
   CHECK(acceptor.received_at[2] > acceptor.received_at[1]);
 }
 
-TEST_CASE_FIXTURE(Fixture, "a connection is closed after too many invalid commands in a row") {
+TEST_CASE_FIXTURE(Fixture, "a connection is closed after too many consecutive invalid commands") {
   Start({.connections = 2, .command = kNever, .idle = kNever, .max_invalid_commands = 3});
   const std::string invalid = "*1\r\n$4\r\nNOPE\r\n";
-  std::string pipelined = invalid + invalid + std::string(kPut);  // a valid one resets the count
+  std::string pipelined = invalid + invalid + std::string(kPut);  // kPut resets the count
   for (int i = 0; i < 600; ++i) pipelined += invalid;
   Socket client = Client(pipelined);
   const std::string error = "-ERR unknown command\r\n";
   CHECK(ToTheEnd(client) == error + error + "-BUSY\r\n" + error + error + error);
 }
 
-// A close over unread bytes reset the connection, and the reply just written went with it.
+// Guards against closing a socket with unread input, which resets the connection and may discard
+// the reply that was just written.
 TEST_CASE_FIXTURE(Fixture, "input during the last reply of a connection does not reset it") {
   Start({.connections = 8, .command = kNever, .idle = kNever});
   acceptor.accepts = true;
   Socket client = Client();
-  acceptor.meanwhile = [&] {  // the command is read, and nothing reads on until it is answered
+  acceptor.meanwhile = [&] {  // nothing more is read until this command is answered
     CHECK(client.SendAll(kPut));
     server->Drain();
   };
   CHECK(client.SendAll(kPut));
   CHECK(Line(client) == "+OK\r\n");
   char byte = 0;
-  CHECK(client.Receive({&byte, 1}) == 0);  // the end, and no reset
-  CHECK(acceptor.accepted == 1);           // what was not read before it is not accepted
+  CHECK(client.Receive({&byte, 1}) == 0);  // closed, not reset
+  CHECK(acceptor.accepted == 1);           // the unread command is not accepted
 }
 
-// The same where the whole server ends meanwhile.
+// The same fault, when the whole server stops at that time.
 TEST_CASE_FIXTURE(Fixture,
                   "input during the last reply of the server does not reset its connection") {
   Start({.connections = 8, .command = kNever, .idle = kNever});
@@ -257,7 +261,7 @@
   acceptor.meanwhile = [&] {
     CHECK(client.SendAll(kPut));
     end = std::thread([&] { server.reset(); });
-    CHECK(ToTheEnd(other).empty());  // the stop has come
+    CHECK(ToTheEnd(other).empty());  // the server is stopping
     other.Close();
   };
   CHECK(client.SendAll(kPut));
@@ -268,7 +272,7 @@
   end.join();
 }
 
-TEST_CASE("the peer's end is seen behind unread input, and our own shutdown is not one") {
+TEST_CASE("the peer's close is detected despite unread input, and our own shutdown is not one") {
   Socket listener = Listen("127.0.0.1:0");
   Socket peer = NewSocket();
   REQUIRE(Connect(peer, LocalAddress(listener), kNever));
@@ -279,12 +283,11 @@
   peer.SendAll("unread");
   peer.Close();
   REQUIRE(ours.AwaitInput(SteadyTime::max()));
-  while (!ours.PeerHasEnded()) std::this_thread::yield();  // its packet may still be on the way
+  while (!ours.PeerHasEnded()) std::this_thread::yield();  // its FIN may not have arrived yet
   CHECK(ours.PeerHasEnded());
 }
 
-TEST_CASE_FIXTURE(Fixture,
-                  "the error reply to a protocol error arrives though input is left unread") {
+TEST_CASE_FIXTURE(Fixture, "the reply to a protocol error arrives although input is left unread") {
   Start({.connections = 2});
   Socket client = Client("*1\r\n$60000000\r\n" + std::string(300'000, 'x'));
   CHECK(ToTheEnd(client) == "-ERR protocol error\r\n");
--- a/tests/network/condition_store_test.cpp
+++ b/tests/network/condition_store_test.cpp
@@ -38,7 +38,7 @@
   return record;
 }
 
-// One process: owns the folder for as long as it lives.
+// Simulates one process, which owns the folder during its lifetime.
 struct Process {
   explicit Process(const StateFolder& folder, std::size_t max_bytes = kMaxBytes)
       : owner(folder.path), store(owner, max_bytes, kNow) {}
@@ -47,7 +47,7 @@
   ConditionStore store;
 };
 
-TEST_CASE("a condition is known to the next process, and to the one behind it") {
+TEST_CASE("a condition is known to the next process, and to the one after that") {
   const StateFolder folder;
   {
     Process first(folder);
@@ -56,7 +56,7 @@
     first.store.Put(Waiting("b", kNow + 9s));
     first.store.Erase(EndpointKey("b"));
   }
-  { const Process second(folder); }  // it does nothing with it
+  { const Process second(folder); }  // it does not use the store
   const Process third(folder);
   CHECK(third.store.is_complete());
   CHECK(third.store.size() == 1);
@@ -65,7 +65,7 @@
   CHECK(found->Equals(Waiting("a", kNow + 8s)));
 }
 
-TEST_CASE("the file stays within its bytes, and says what is missing; no wait is lost for others") {
+TEST_CASE("the file keeps its size limit and its waits, and records that others are missing") {
   const StateFolder folder;
   {
     Process process(folder);
@@ -79,7 +79,7 @@
   CHECK_FALSE(next.store.is_complete());
 }
 
-TEST_CASE("any damaged byte costs one condition at most, and the next process knows of it") {
+TEST_CASE("a damaged byte loses at most one condition, and the next process detects the loss") {
   const StateFolder folder;
   { Process(folder).store.Put(Waiting("a", kNow + 8s)); }
   std::ifstream in(folder.file(), std::ios::binary);
@@ -98,13 +98,13 @@
 TEST_CASE("a predecessor that wrote no conditions leaves them incomplete") {
   const StateFolder folder;
   { Process(folder).store.Put(Waiting("a", kNow + 8s)); }
-  std::ofstream(folder.path + "/owner") << "pid 1\n";  // as an earlier version leaves it
+  std::ofstream(folder.path + "/owner") << "pid 1\n";  // as written by an earlier version
   CHECK_FALSE(Process(folder).store.is_complete());
   fs::remove(folder.file());
   CHECK_FALSE(Process(folder).store.is_complete());
 }
 
-TEST_CASE("conditions are kept in memory while the folder is another process's") {
+TEST_CASE("conditions are kept in memory while another process owns the folder") {
   const StateFolder folder;
   std::optional<Process> first(folder);
   Process second(folder);
--- a/tests/network/config_test.cpp
+++ b/tests/network/config_test.cpp
@@ -1,4 +1,4 @@
-// The configuration: what is unsuited gets a safe default and a line that says so.
+// Tests the configuration: an unsuitable value is replaced by a safe default, with a warning.
 #include "config/config.hpp"
 
 #include <doctest/doctest.h>
@@ -36,7 +36,7 @@
   return WithSettings(kIdempotentWithKey, family).policy_settings.zone_penalty;
 }
 
-TEST_CASE("zone penalties are one for each zone, one for all, or none") {
+TEST_CASE("zone penalties are a value for each zone, one for all zones, or absent") {
   CHECK(ZonePenalties(R"({"toll":[0,0.03]})") == std::vector<double>{0, 0.03});
   CHECK(ZonePenalties(R"({"toll":0.01})") == std::vector<double>{0.01, 0.01});
   CHECK(ZonePenalties("{}").empty());
@@ -48,7 +48,7 @@
   CHECK(bad.warnings.size() == 1);
 }
 
-TEST_CASE("a zone penalty that is not a number is a fault") {
+TEST_CASE("a zone penalty that is not a number is an error") {
   CHECK_THROWS_AS(WithSettings(kIdempotentWithKey, R"({"toll":"much"})"), ConfigError);
 }
 
--- a/tests/network/connection_pool_test.cpp
+++ b/tests/network/connection_pool_test.cpp
@@ -1,5 +1,5 @@
-// Which idle connections are kept, at times that the tests choose. The sockets are pairs whose
-// other ends the tests hold, so that nothing is waited for.
+// Tests which idle connections are kept. The tests set the time and own the other ends of the
+// socket pairs, so that they wait for nothing.
 #include "net/connection_pool.hpp"
 
 #include <doctest/doctest.h>
@@ -23,7 +23,7 @@
 
 class Fixture {
  public:
-  // An open connection, and the endpoint's end of it.
+  // An open connection and the endpoint's end of it.
   struct Opened {
     EndpointConnection connection;
     Socket peer;
@@ -37,7 +37,7 @@
     connection.address = kAddress;
     return {std::move(connection), Socket(ends[1])};
   }
-  // Returns a new connection to the pool, and gives the endpoint's end of it.
+  // Opens a connection, returns it to the pool, and returns the endpoint's end of it.
   Socket ReturnNew(SteadyTime now = kStart, std::uint64_t endpoint = kEndpoint) {
     Opened opened = Open(endpoint);
     pool.Return(std::move(opened.connection), now);
@@ -57,8 +57,8 @@
   CHECK(pool.Take(kEndpoint, kAddress, kStart).socket.fd() == second_descriptor);
 }
 
-// Guards against an endpoint's late second answer being read as the answer to the next call.
-TEST_CASE_FIXTURE(Fixture, "after unasked input a connection is reused once it has settled") {
+// Guards against reading a late second answer of an endpoint as the answer to the next call.
+TEST_CASE_FIXTURE(Fixture, "after unsolicited input a connection is reused after a settle time") {
   Socket unasked = ReturnNew();
   unasked.SendAll("HTTP/1.1 200 OK\r\n\r\n");
   CHECK_FALSE(pool.Take(kEndpoint, kAddress, kStart).socket.is_open());
@@ -74,7 +74,7 @@
             .socket.is_open());
 }
 
-// A connection that was used before, and on which an answer has come just now.
+// A reused connection on which an answer has just been received.
 class AnsweredConnection {
  public:
   AnsweredConnection(ConnectionPool& pool, SteadyTime now, std::uint64_t endpoint = kEndpoint)
@@ -96,7 +96,7 @@
 
 constexpr milliseconds kJustBefore{1};
 
-TEST_CASE_FIXTURE(Fixture, "an answer is certain once its connection has rested without input") {
+TEST_CASE_FIXTURE(Fixture, "an answer is certain once its connection has been idle without input") {
   AnsweredConnection answered(pool, kStart);
   pool.SettleAnswers(kStart + seconds(1));
   CHECK(answered.certainty() == AnswerCertainty::kUnsettled);  // the connection is in use
@@ -109,23 +109,22 @@
   CHECK(pool.Take(kEndpoint, kAddress, settled).socket.is_open());
 }
 
-// Guards against a call being ended by an answer that nobody asked for, with the true one behind
-// it.
-TEST_CASE_FIXTURE(Fixture, "input behind an answer makes it doubtful") {
+// Guards against ending a call with an unsolicited answer that is followed by the true one.
+TEST_CASE_FIXTURE(Fixture, "input after an answer makes it doubtful") {
   AnsweredConnection answered(pool, kStart);
   pool.Return(std::move(answered.connection), kStart);
   answered.peer.SendAll("HTTP/1.1 503 Busy\r\n\r\n");
-  SUBCASE("seen when the connection is looked at") { pool.SettleAnswers(kStart); }
-  SUBCASE("seen when another call begins") {
+  SUBCASE("detected when the answers are settled") { pool.SettleAnswers(kStart); }
+  SUBCASE("detected when another call begins") {
     CHECK_FALSE(pool.Take(kEndpoint, kAddress, kStart).socket.is_open());
   }
-  SUBCASE("seen when its endpoint is removed") { pool.RemoveEndpoint(kEndpoint, kStart); }
-  SUBCASE("seen late") { pool.SettleAnswers(kStart + seconds(1)); }
+  SUBCASE("detected when its endpoint is removed") { pool.RemoveEndpoint(kEndpoint, kStart); }
+  SUBCASE("detected late") { pool.SettleAnswers(kStart + seconds(1)); }
   CHECK(answered.certainty() == AnswerCertainty::kDoubtful);
   CHECK(IsClosed(answered.peer));
 }
 
-TEST_CASE_FIXTURE(Fixture, "unasked input makes the endpoint's other unsettled answers doubtful") {
+TEST_CASE_FIXTURE(Fixture, "unsolicited input makes the endpoint's other answers doubtful") {
   const AnsweredConnection in_use(pool, kStart);
   AnsweredConnection idle(pool, kStart);
   const AnsweredConnection other(pool, kStart, kOtherEndpoint);
@@ -136,34 +135,34 @@
   CHECK(other.certainty() == AnswerCertainty::kUnsettled);
 }
 
-// Guards against the same where the endpoint falls silent ahead of the true answer.
-TEST_CASE_FIXTURE(Fixture, "an endpoint that falls silent behind an answer makes it doubtful") {
+// Guards against the same fault when the endpoint becomes silent before it sends the true answer.
+TEST_CASE_FIXTURE(Fixture, "an endpoint that becomes silent after an answer makes it doubtful") {
   AnsweredConnection answered(pool, kStart);
   const AnsweredConnection later(pool, kStart + milliseconds(1));
   pool.OnCallWritten(later.connection, kStart + milliseconds(1));
   pool.Return(std::move(answered.connection), kStart);
   const SteadyTime rested = kStart + UnsettledAnswers::kSettleTime;
   pool.SettleAnswers(rested);
-  CHECK(answered.certainty() == AnswerCertainty::kUnsettled);  // a later call is out
+  CHECK(answered.certainty() == AnswerCertainty::kUnsettled);  // a later call is in flight
   using CallEnd = UnsettledAnswers::CallEnd;
   const auto end = [&](CallEnd how) {
     pool.OnCallEnded(later.connection, kStart + milliseconds(1), how, rested + milliseconds(1));
   };
-  SUBCASE("in vain") {
+  SUBCASE("the later call is not answered") {
     end(CallEnd::kSilent);
     CHECK(answered.certainty() == AnswerCertainty::kDoubtful);
   }
-  SUBCASE("answered") {
+  SUBCASE("the later call is answered") {
     end(CallEnd::kAnswered);
     pool.SettleAnswers(rested + milliseconds(1));
     CHECK(answered.certainty() == AnswerCertainty::kCertain);
   }
-  SUBCASE("broken off") {
+  SUBCASE("the later call is broken off") {
     end(CallEnd::kOther);
     pool.SettleAnswers(rested + milliseconds(1));
     CHECK(answered.certainty() == AnswerCertainty::kCertain);
   }
-  SUBCASE("another one that was written long enough behind it is answered") {
+  SUBCASE("another call that was written long enough after the answer is answered") {
     pool.OnCallWritten(later.connection, rested);
     pool.OnCallEnded(later.connection, rested, CallEnd::kAnswered, rested);
     end(CallEnd::kSilent);
@@ -172,7 +171,8 @@
   }
 }
 
-TEST_CASE_FIXTURE(Fixture, "a call that is given up at once says nothing of an answer before") {
+TEST_CASE_FIXTURE(Fixture,
+                  "a call that is given up soon does not make an earlier answer doubtful") {
   const AnsweredConnection answered(pool, kStart);
   pool.OnCallWritten(answered.connection, kStart);
   pool.OnCallEnded(answered.connection, kStart, UnsettledAnswers::CallEnd::kSilent,
@@ -180,8 +180,8 @@
   CHECK(answered.certainty() == AnswerCertainty::kUnsettled);
 }
 
-// Guards against a connection that is never at rest keeping its answers unsettled.
-TEST_CASE_FIXTURE(Fixture, "a connection with unsettled answers has to rest after a while") {
+// Guards against a connection that is always in use keeping its answers unsettled forever.
+TEST_CASE_FIXTURE(Fixture, "a connection with unsettled answers has to be idle after a while") {
   AnsweredConnection answered(pool, kStart);
   const SteadyTime too_long = kStart + UnsettledAnswers::kMaxUnsettledTime;
   pool.Return(std::move(answered.connection), too_long - kJustBefore);
@@ -196,27 +196,27 @@
   CHECK(answered.certainty() == AnswerCertainty::kCertain);
 }
 
-// Guards against the one connection being closed on which a false answer would be found out.
+// Guards against closing the only connection on which a wrong answer can be detected.
 TEST_CASE_FIXTURE(Fixture,
                   "a connection with unsettled answers stays open until they are settled") {
   AnsweredConnection answered(pool, kStart);
   pool.Return(std::move(answered.connection), kStart);
   SUBCASE("its endpoint is removed") { pool.RemoveEndpoint(kEndpoint, kStart); }
-  SUBCASE("it is the oldest of too many") {
+  SUBCASE("it is the oldest of too many idle connections") {
     for (int i = 0; i < 4; ++i) {
       Opened newer = Open();
       pool.Return(std::move(newer.connection), kStart);
     }
   }
   CHECK_FALSE(IsClosed(answered.peer));
-  SUBCASE("and is closed then") {
+  SUBCASE("it is closed once they are settled") {
     pool.RemoveEndpoint(kEndpoint, kStart);
     CHECK_FALSE(pool.Take(kEndpoint, kAddress, kStart + seconds(1)).socket.is_open());
     pool.SettleAnswers(kStart + seconds(1));
     CHECK(answered.certainty() == AnswerCertainty::kCertain);
     CHECK(IsClosed(answered.peer));
   }
-  SUBCASE("and shows what comes behind its answer") {
+  SUBCASE("input after its answer is detected") {
     pool.RemoveEndpoint(kEndpoint, kStart);
     answered.peer.SendAll("HTTP/1.1 503 Busy\r\n\r\n");
     pool.SettleAnswers(kStart + seconds(1));
@@ -224,7 +224,7 @@
   }
 }
 
-TEST_CASE_FIXTURE(Fixture, "without an idle connection one without a socket is given") {
+TEST_CASE_FIXTURE(Fixture, "without an idle connection, Take returns one without a socket") {
   const EndpointConnection fresh = pool.Take(kEndpoint, kAddress, kStart);
   CHECK_FALSE(fresh.socket.is_open());
   CHECK(fresh.endpoint == kEndpoint);
@@ -260,7 +260,8 @@
   CHECK(pool.NextExpiry() == SteadyTime::max());
 }
 
-TEST_CASE_FIXTURE(Fixture, "the oldest connection to an endpoint is closed beyond its budget") {
+TEST_CASE_FIXTURE(Fixture,
+                  "the oldest connection to an endpoint is closed when the budget is exceeded") {
   const Socket other = ReturnNew(kStart, kOtherEndpoint);
   const Socket oldest = ReturnNew();
   const std::array<Socket, 3> newer{ReturnNew(), ReturnNew(), ReturnNew()};
@@ -271,7 +272,7 @@
   for (const Socket& peer : newer) CHECK_FALSE(IsClosed(peer));
 }
 
-TEST_CASE_FIXTURE(Fixture, "the oldest connection of all is closed beyond the total") {
+TEST_CASE_FIXTURE(Fixture, "the oldest connection of all is closed when the total is exceeded") {
   const Socket oldest = ReturnNew(kStart, 10);
   const std::array<Socket, 4> newer{ReturnNew(kStart, 11), ReturnNew(kStart, 12),
                                     ReturnNew(kStart, 13), ReturnNew(kStart, 14)};
@@ -281,7 +282,8 @@
   for (const Socket& peer : newer) CHECK_FALSE(IsClosed(peer));
 }
 
-TEST_CASE_FIXTURE(Fixture, "after rejected connections fewer are kept, for a shorter time") {
+TEST_CASE_FIXTURE(Fixture,
+                  "after rejected connections fewer connections are kept, for a shorter time") {
   for (int i = 0; i < 4; ++i) pool.OnConnectionRejected(kEndpoint, kStart);
   const Socket first = ReturnNew();
   CHECK(pool.NextExpiry() < kStart + seconds(1));
--- a/tests/network/cuts.hpp
+++ b/tests/network/cuts.hpp
@@ -1,5 +1,5 @@
-// The one helper of the parsers' tests: random cuts of valid input and random garbage, from fixed
-// seeds, so that every run sees the same.
+// Helpers for the tests of parsers: valid input in random chunks, and random garbage. The seeds are
+// fixed, so that every run has the same input.
 #ifndef BRASSFRONT_TESTS_NETWORK_CUTS_HPP_
 #define BRASSFRONT_TESTS_NETWORK_CUTS_HPP_
 
@@ -12,7 +12,7 @@
 
 inline constexpr int kRounds = 300;
 
-// Hands the text to `feed` in pieces of random sizes.
+// Passes the text to `feed` in chunks of random sizes.
 template <typename Feed>
 void InCuts(std::string_view text, std::uint32_t seed, Feed feed) {
   std::mt19937 random(seed);
@@ -24,7 +24,7 @@
   }
 }
 
-// Bytes that resemble the given text: some of it, with pieces changed, lost or made up.
+// Returns bytes that resemble the given text, with some bytes changed, removed or added.
 inline std::string Garbage(std::string_view like, std::uint32_t seed) {
   std::mt19937 random(seed);
   std::string out;
--- a/tests/network/discovery_watcher_test.cpp
+++ b/tests/network/discovery_watcher_test.cpp
@@ -1,6 +1,5 @@
-// The watch on discovery: its worst cases in virtual time, and against an agent on loopback that
-// behaves badly. What is waited for there has no limit of its own: only a failure would wait
-// without end.
+// Tests the discovery watcher: its worst cases in virtual time, and with a misbehaving agent on
+// loopback. The waits in the latter have no timeout: only a failure makes a test wait forever.
 #include "net/discovery_watcher.hpp"
 
 #include <doctest/doctest.h>
@@ -20,7 +19,7 @@
 
 enum class Path { kSilent, kRefused, kSlowToRefuse, kWatchFellSilent, kWatchEnded };
 
-// How long after the moment from which discovery can be reached, and has a change, it is polled.
+// Returns the time from the moment when discovery is reachable and has a change until it is polled.
 milliseconds NoticeDelay(Path path, std::size_t group, std::uint64_t seed, milliseconds down) {
   DiscoveryTimeouts times(group, seed);
   const DiscoveryTimeouts::Time start{milliseconds(10'000)};
@@ -28,12 +27,12 @@
   const DiscoveryTimeouts::Time reachable = start + down;
   if (path == Path::kWatchFellSilent || path == Path::kWatchEnded) {
     times.OnPollStarted(now);
-    times.OnProgress(now);  // the last one: it falls silent, or ends, just after it
+    times.OnProgress(now);  // the last progress: the watch becomes silent, or ends, right after it
     now = path == Path::kWatchEnded ? now : times.GiveUpAt();
     now += times.DelayAfter(now);
   }
   std::mt19937_64 random(seed);
-  while (now < reachable) {  // an ask from before stays without an answer
+  while (now < reachable) {  // a request made before that moment is not answered
     times.OnPollStarted(now);
     const auto whole = std::chrono::duration_cast<milliseconds>(times.GiveUpAt() - now);
     now += path == Path::kSilent ? whole
@@ -45,7 +44,7 @@
   return std::chrono::duration_cast<milliseconds>(now - reachable);
 }
 
-TEST_CASE("a change is noticed in time on every path, whatever the group's size") {
+TEST_CASE("a change is noticed in time on every path and with every group size") {
   milliseconds worst{0};
   for (const Path path : {Path::kSilent, Path::kRefused, Path::kSlowToRefuse,
                           Path::kWatchFellSilent, Path::kWatchEnded}) {
@@ -58,10 +57,10 @@
   }
   CHECK(worst <= DiscoveryTimeouts::kPollInterval + milliseconds(1));
   CHECK(worst + milliseconds(500) <= DiscoveryTimeouts::kNoticeLimit);
-  CHECK(worst >= milliseconds(3000));  // the paths are real ones
+  CHECK(worst >= milliseconds(3000));  // the test is not vacuous
 }
 
-TEST_CASE("another address is polled in time, whatever happened before") {
+TEST_CASE("another address is polled in time, regardless of earlier failures") {
   for (const std::size_t group : {1, 300, 100'000}) {
     DiscoveryTimeouts times(group, 7);
     for (int i = 0; i < 20; ++i) {
@@ -72,7 +71,8 @@
   }
 }
 
-// A side that trickles was never silent: the watch stayed on it for good, and no list came.
+// Guards against a peer that sends single bytes and so is never silent: the watcher stayed
+// connected to it forever and got no list.
 TEST_CASE("a response on which no line ends is given up") {
   Socket agent = Listen("127.0.0.1:0");
   BufferPool buffers;
@@ -81,7 +81,8 @@
   Socket trickling = Accept(agent);
   trickling.SendAll("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   bool asked_again = false;
-  for (int i = 0; i < 4000 && !asked_again; ++i) {  // a byte each 5 ms, far under the silence
+  // Sends a byte every 5 ms, far more often than the silence timeout.
+  for (int i = 0; i < 4000 && !asked_again; ++i) {
     trickling.SendAll("1\r\n \r\n");
     asked_again = agent.AwaitInput(std::chrono::steady_clock::now() + std::chrono::milliseconds(5));
   }
--- a/tests/network/endpoint_client_test.cpp
+++ b/tests/network/endpoint_client_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint client against a listener on loopback that does what each case says.
+// Tests the endpoint client with a listener on loopback, whose behaviour each test case defines.
 #include "net/endpoint_client.hpp"
 
 #include <doctest/doctest.h>
@@ -19,7 +19,7 @@
 class Peer {
  public:
   Peer() : listener_(Listen("127.0.0.1:0")), address(LocalAddress(listener_)) {}
-  // Takes a connection and reads one request on it.
+  // Accepts a connection and reads one request on it.
   Socket AcceptRequest() {
     Socket socket = Accept(listener_);
     ReadRequest(socket);
@@ -53,7 +53,7 @@
     return std::make_shared<EndpointCall>(++number, endpoint, peer.address,
                                           HttpGet("/", peer.address), start_by);
   }
-  // Carries one call out, answered with these bytes, and leaves the connection open.
+  // Makes one call, answers it with these bytes, and leaves the connection open.
   EndpointCallResult Answered(Socket& socket, std::string_view bytes, std::uint64_t endpoint = 1) {
     client.Start(Make(kNever, endpoint));
     socket = peer.AcceptRequest();
@@ -75,21 +75,21 @@
   first.SendAll(kOk);
   CHECK(NextResult().status == 200);
   client.Start(Make());
-  Peer::ReadRequest(first);  // on the same connection
+  Peer::ReadRequest(first);  // on the first connection
   first.SendAll(kOk);
   CHECK(NextResult().complete);
   first.Close();
   client.Start(Make());
-  Socket second = peer.AcceptRequest();  // a reset would count as a call that may have run
+  Socket second = peer.AcceptRequest();  // otherwise a reset, and the call might have run
   second.SendAll(kOk);
   CHECK(NextResult().outcome == CallOutcome::kAnswered);
 }
 
-// Guards against an answer that nobody asked for ending the next call on its connection.
-TEST_CASE_FIXTURE(Fixture, "what comes on a reused connection before the first byte is no answer") {
+// Guards against ending the next call on a connection with an unsolicited answer.
+TEST_CASE_FIXTURE(Fixture, "input on a reused connection before the first byte is not an answer") {
   Socket first;
   CHECK(Answered(first, kOk).status == 200);
-  // The last check before the first byte, at which the connection has been chosen.
+  // Sent during the last check before the first byte, when the connection has already been chosen.
   const auto send_unasked = [&first] { return first.is_open() && first.SendAll(kOk); };
   bool sent = false;
   const auto permit = [&] { return sent || (sent = send_unasked()); };
@@ -100,15 +100,14 @@
   CHECK(NextResult().status == 503);
 }
 
-// Guards against a call being ended by an answer that nobody asked for, with the true one behind
-// it.
-TEST_CASE_FIXTURE(Fixture, "an answer with another one behind it is certain on a new connection") {
+// Guards against ending a call with an unsolicited answer that is followed by the true one.
+TEST_CASE_FIXTURE(Fixture, "an answer followed by another one is certain on a new connection") {
   Socket first;
   const std::string twice = std::string(kOk) + std::string(kOk);
   CHECK_FALSE(Answered(first, twice).certainty);
 }
 
-TEST_CASE_FIXTURE(Fixture, "an answer with another one behind it is doubtful on a reused one") {
+TEST_CASE_FIXTURE(Fixture, "an answer followed by another one is doubtful on a reused connection") {
   Socket first;
   CHECK_FALSE(Answered(first, kOk).certainty);
   client.Start(Make());
@@ -116,7 +115,7 @@
   first.SendAll(std::string(kOk) + std::string(kOk));
   const EndpointCallResult result = NextResult();
   REQUIRE(result.certainty);
-  // The second answer may come apart from the first.
+  // The second answer may arrive separately from the first.
   while (*result.certainty == AnswerCertainty::kUnsettled) client.SettleAnswers();
   CHECK(*result.certainty == AnswerCertainty::kDoubtful);
 }
@@ -131,7 +130,7 @@
 TEST_CASE_FIXTURE(Fixture, "a call that is late is not sent, and its connection is reused") {
   client.Start(Make(std::chrono::steady_clock::now() - std::chrono::seconds(1)));
   CHECK(NextResult().outcome == CallOutcome::kNotSent);
-  // The connection that was opened for it serves the next.
+  // The next call uses the connection that was opened for the late one.
   client.Start(Make());
   Socket socket = peer.AcceptRequest();
   socket.SendAll(kOk);
@@ -147,8 +146,7 @@
   CHECK(NextResult().status == 200);
 }
 
-TEST_CASE_FIXTURE(Fixture,
-                  "an aborted call has closed its connection before its result is passed on") {
+TEST_CASE_FIXTURE(Fixture, "an aborted call closes its connection before its result is passed on") {
   for (const auto stop :
        {EndpointCall::StopReason::kCancelled, EndpointCall::StopReason::kTimedOut}) {
     auto call = Make();
@@ -196,13 +194,13 @@
 
 TEST_CASE_FIXTURE(Fixture, "a connection with input beyond its response is not reused") {
   Socket sockets[3];
-  CHECK(Answered(sockets[0], std::string(kOk) + "noise").complete);  // with the answer
+  CHECK(Answered(sockets[0], std::string(kOk) + "noise").complete);  // surplus with the answer
   CHECK(Answered(sockets[1], kOk).complete);                         // on a new connection
-  sockets[1].SendAll(kOk);                                           // or after it
+  sockets[1].SendAll(kOk);                                           // surplus after the answer
   CHECK(Answered(sockets[2], kOk).complete);
 }
 
-TEST_CASE_FIXTURE(Fixture, "an endpoint that takes over an address gets connections of its own") {
+TEST_CASE_FIXTURE(Fixture, "an endpoint that takes over an address gets separate connections") {
   Socket first, second;
   CHECK(Answered(first, kOk, 1).complete);
   CHECK(Answered(second, kOk, 2).complete);
@@ -214,7 +212,7 @@
   CHECK(NextResult().outcome == CallOutcome::kConnectFailed);
 }
 
-// A connection with an end of the test's own, on which segments have times.
+// A connection with segment times, whose peer is the test.
 struct TimedConnection {
   TimedConnection() {
     const Socket listener = Listen("127.0.0.1:0");
@@ -250,10 +248,12 @@
   Socket peer{};
 };
 
-// Guards against an answer ending a call that was sent behind it, and against true ones refused.
-TEST_CASE_FIXTURE(TimedConnection, "input that came before a write is told from its answer") {
+// Guards against ending a call with an answer that was received before the call was sent, and
+// against refusing true answers.
+TEST_CASE_FIXTURE(TimedConnection,
+                  "input received before a write is distinguished from its answer") {
   constexpr int kExchanges = 500;
-  // The kernel begins to note when segments are received a moment after it was asked to.
+  // The kernel begins to record receive times only some time after they were enabled.
   while (!EarlyInputIsTold()) std::this_thread::yield();
   for (int i = 0; i < kExchanges; ++i) {
     CHECK_FALSE(AnswerIsTakenForEarly());
@@ -261,8 +261,8 @@
   }
 }
 
-// Guards against a timestamp being taken for input, on which a read would wait without end.
-TEST_CASE_FIXTURE(TimedConnection, "a timestamp of what was sent is no input and no end") {
+// Guards against mistaking a timestamp for input, for which a read would then wait forever.
+TEST_CASE_FIXTURE(TimedConnection, "the timestamp of a sent segment is neither input nor a close") {
   REQUIRE(ours.SendAll("q"));
   ReceiveByte(peer);
   CHECK_FALSE(ours.AwaitInput(std::chrono::steady_clock::now() + std::chrono::milliseconds(20)));
@@ -272,7 +272,7 @@
   CHECK_FALSE(moved.AwaitInput(std::chrono::steady_clock::now() + std::chrono::milliseconds(20)));
 }
 
-// Guards against the rejection of a connection being taken for the answer to another call.
+// Guards against mistaking the rejection of a connection for the answer to another call.
 TEST_CASE_FIXTURE(Fixture, "a 503 that comes before the request still rejects the connection") {
   Socket socket;
   const std::string busy = "HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
@@ -293,7 +293,7 @@
         CallOutcome::kConnectionLimitReached);
   CHECK(Answered(socket, busy + "Connection: close\r\nWait-Ms: 5\r\n\r\n").status == 503);
   CHECK(Answered(socket, busy + "\r\n").outcome == CallOutcome::kAnswered);
-  client.Start(Make());  // on the connection that stands
+  client.Start(Make());  // on the connection that is still open
   Peer::ReadRequest(socket);
   socket.SendAll(busy + "Connection: close\r\n\r\n");
   CHECK(NextResult().outcome == CallOutcome::kAnswered);
--- a/tests/network/endpoint_exclusions_test.cpp
+++ b/tests/network/endpoint_exclusions_test.cpp
@@ -33,7 +33,8 @@
   MemberList delivered;
 };
 
-TEST_CASE_FIXTURE(Fixture, "an excluded endpoint is draining in every list until it is back") {
+TEST_CASE_FIXTURE(Fixture,
+                  "an excluded endpoint is draining in every list until the exclusion ends") {
   (void)exclusions.Apply(Complete(1, {Ready("a"), Ready("b")}));
   Exclude(ExclusionSource::kOperator, {"a"});
   REQUIRE(delivered.members.size() == 1);
@@ -50,11 +51,11 @@
   CHECK(delivered.revision == 2);
 }
 
-TEST_CASE_FIXTURE(Fixture, "an endpoint is out as long as anyone says so") {
+TEST_CASE_FIXTURE(Fixture, "an endpoint is excluded as long as any source excludes it") {
   (void)exclusions.Apply(Complete(1, {Ready("a")}));
   Exclude(ExclusionSource::kFleet, {"a"});
   Exclude(ExclusionSource::kOperator, {"a"});
-  CHECK(delivered.members.empty());  // it was out already
+  CHECK(delivered.members.empty());  // it was already excluded
   Exclude(ExclusionSource::kFleet, {});
   CHECK(delivered.members.empty());
   CHECK(exclusions.IsExcluded("a"));
@@ -62,14 +63,14 @@
   CHECK(delivered.members.size() == 1);
 }
 
-TEST_CASE_FIXTURE(Fixture, "an older list changes nothing of what is known") {
+TEST_CASE_FIXTURE(Fixture, "an older list changes nothing") {
   (void)exclusions.Apply(Complete(5, {Ready("a")}));
   (void)exclusions.Apply(Complete(4, {Ready("b")}));
   CHECK(exclusions.IsListed("a"));
   CHECK_FALSE(exclusions.IsListed("b"));
 }
 
-TEST_CASE("the file of exclusions is read as it was written, and a damaged one is put aside") {
+TEST_CASE("the file of exclusions is read as it was written, and a damaged file is renamed") {
   char name[] = "/tmp/brassfront-exclusions-XXXXXX";
   const std::string folder = mkdtemp(name);
   const ExclusionFile file(folder);
--- a/tests/network/endpoint_protocol_test.cpp
+++ b/tests/network/endpoint_protocol_test.cpp
@@ -33,7 +33,7 @@
   no_slot.slots_taken = "1";
   CHECK(ParseSingleAnswer(no_slot).outcome == Outcome::kNotSent);
   EndpointCallResult cut = Answered(200);
-  cut.complete = false;  // the first line is enough for one message
+  cut.complete = false;  // the status line is enough for a single message
   CHECK(ParseSingleAnswer(cut).outcome == Outcome::kDelivered);
 }
 
@@ -71,7 +71,7 @@
   CHECK(ends[3].message_over);
   CHECK(ends[3].outcome == Outcome::kNotSent);
   CHECK(ends[4].exhausted);
-  CHECK(ends[5].outcome == Outcome::kError);  // nobody knows: it may have run
+  CHECK(ends[5].outcome == Outcome::kError);  // not in the answer, so it may have run
 }
 
 TEST_CASE("a batch whose answer is incomplete delivers nothing") {
@@ -92,7 +92,7 @@
     EndpointCallResult end = Answered(429);
     end.load_report = testing::Garbage("x0=0.4,x1=25", seed);
     end.retry_after_ms = testing::Garbage("250", seed);
-    (void)ParseLoadReport(end);  // that it returns is the check
+    (void)ParseLoadReport(end);  // only checks that it returns
     CHECK(ParseRetryAfter(end) >= std::chrono::milliseconds(0));
   }
 }
@@ -114,7 +114,7 @@
   }
 }
 
-TEST_CASE("calls are written as the wire protocol says") {
+TEST_CASE("calls are formatted as the wire protocol defines") {
   const CallItem parts[] = {{"a", "k", "foo"}, {"b", "", ""}};
   const std::string one = FormatSingleCall("h:1", parts[0], std::chrono::milliseconds(1500));
   CHECK(one ==
--- a/tests/network/engine_test.cpp
+++ b/tests/network/engine_test.cpp
@@ -1,4 +1,4 @@
-// The engine with one endpoint on loopback, without clients; the platform is there in one test.
+// Tests the engine with one endpoint on loopback and no clients. One test also has a platform.
 #include "forwarder/engine.hpp"
 
 #include <doctest/doctest.h>
@@ -16,7 +16,7 @@
 namespace brassfront {
 namespace {
 
-// A temporary folder, removed with its owner.
+// A temporary folder, removed by the destructor.
 class Folder {
  public:
   Folder() {
@@ -62,7 +62,7 @@
   return request;
 }
 
-// Reads up to and with `mark`, or up to the end of the stream.
+// Reads up to and including `mark`, or to the end of the stream.
 std::string ReadUntil(Socket& socket, std::string_view mark) {
   std::string got;
   char byte = 0;
@@ -70,11 +70,11 @@
   return got;
 }
 
-// The platform: confirms notifications and answers nothing else.
+// A platform that confirms notifications and answers no other request.
 class Platform {
  public:
   std::string address() const { return LocalAddress(listener_); }
-  // The body of the next request with notifications.
+  // Returns the body of the next request with notifications.
   std::string NextNotification() {
     while (true) {
       Socket socket = Accept(listener_);
@@ -110,7 +110,7 @@
     engine->Restore();
     runner = std::thread([this] { engine->Run([] {}); });
   }
-  // Takes one call, answers it with 200 and returns its id.
+  // Accepts one call, answers it with 200 and returns the id of its message.
   std::string AnswerOne() {
     Socket socket = Accept(listener);
     const std::string got = ReadUntil(socket, "\r\n\r\nb");
@@ -133,7 +133,7 @@
 
 TEST_CASE_FIXTURE(Fixture,
                   "a request that the settings exclude is rejected without the engine's thread") {
-  // It does not run: anything that needed it would wait for good.
+  // The engine's thread does not run, so a request that needed it would wait forever.
   DeliveryRequest unknown_class = Message("a"), unknown_tenant = Message("b"),
                   no_key = Message("c");
   unknown_class.class_name = "x";
@@ -155,16 +155,17 @@
   REQUIRE(first.status == SubmitResult::Status::kAccepted);
   CHECK(engine->Submit(Message("same")).error == "the id is taken");
   engine->OnClientDisconnected(first.message);
-  // The inbox keeps its order, so the first one is gone by now.
+  // The inbox is processed in order, so the first message has ended by now.
   const SubmitResult second = engine->Submit(Message("same"));
   REQUIRE(second.status == SubmitResult::Status::kAccepted);
   CHECK(second.message != first.message);
-  engine->OnClientDisconnected(first.message);  // once more, as a late thread would
+  engine->OnClientDisconnected(first.message);  // again, as from a late thread
   engine->OnAcknowledged(second.message);
   CHECK(AnswerOne() == "same");
 }
 
-TEST_CASE_FIXTURE(Fixture, "a message whose client does not know of its acceptance is not sent") {
+TEST_CASE_FIXTURE(Fixture,
+                  "a message whose client has not been sent the acceptance is not delivered") {
   Run();
   const SubmitResult unheard = engine->Submit(Message("unheard"));
   const SubmitResult heard = engine->Submit(Message("heard"));
@@ -175,8 +176,8 @@
   engine->OnClientDisconnected(unheard.message);
 }
 
-// An answer that came after the first of its messages had been given up was taken for all the
-// others: the partner counted none of them, and they were lost.
+// Guards against using the answer to a batch after its first message was given up: the answer was
+// taken for all other messages too, but the endpoint counted none of them, and they were lost.
 TEST_CASE("a batch is cancelled when the first of its messages is given up") {
   Platform platform;
   Fixture f(platform.address(), 2);
@@ -194,14 +195,15 @@
   REQUIRE(call.find("\"brief\"") != std::string::npos);
   REQUIRE(call.find("\"long\"") != std::string::npos);
   const std::string mark = "X-Time-Left-Ms: ";
-  CHECK(std::stoi(call.substr(call.find(mark) + mark.size())) <= 350);  // a little before its time
+  CHECK(std::stoi(call.substr(call.find(mark) + mark.size())) <= 350);  // below the 400 ms left
 
   CHECK(platform.NextNotification().find("\"brief\"") != std::string::npos);
   const std::string body = R"([{"id":"brief","state":"ok"},{"id":"long","state":"ok"}])";
   shared.SendAll("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                  body);
   REQUIRE(f.listener.AwaitInput(std::chrono::steady_clock::now() + std::chrono::seconds(10)));
-  // With its last 50 ms the policy may have tried the brief one once more: alone, never in a batch.
+  // With the last 50 ms the policy may have tried the message "brief" again: alone, never in a
+  // batch.
   std::string next = f.AnswerOne();
   if (next == "brief") next = f.AnswerOne();
   CHECK(next == "long");
@@ -216,7 +218,7 @@
   DrainUntil(
       queue, [&] { return due; }, [&] { return now; },
       [&](int value) {
-        REQUIRE(++taken < 1000);  // an unbounded drain would not end
+        REQUIRE(++taken < 1000);  // a drain without a time limit would not end
         now += std::chrono::milliseconds(1);
         queue.Push(value + 1);
       });
--- a/tests/network/error_class_test.cpp
+++ b/tests/network/error_class_test.cpp
@@ -9,7 +9,7 @@
 namespace brassfront {
 namespace {
 
-TEST_CASE("what this machine lacks for a moment is transient for every call") {
+TEST_CASE("a resource shortage on this machine is transient for every call") {
   for (const SystemCall call :
        {SystemCall::kAccept, SystemCall::kBind, SystemCall::kConnect, SystemCall::kOpenDescriptor,
         SystemCall::kPoll, SystemCall::kReceive, SystemCall::kSend, SystemCall::kStartThread,
@@ -19,7 +19,7 @@
   }
 }
 
-TEST_CASE("errors of one connection end that one") {
+TEST_CASE("errors of a connection have the class kPeer") {
   for (const int error : {ECONNABORTED, EPROTO, ENETUNREACH, EHOSTUNREACH}) {
     CHECK(Classify(SystemCall::kAccept, error) == ErrorClass::kPeer);
   }
@@ -32,13 +32,13 @@
   }
 }
 
-TEST_CASE("what will be so the next time is fatal") {
+TEST_CASE("an error that a retry can't remove is fatal") {
   CHECK(Classify(SystemCall::kBind, EACCES) == ErrorClass::kFatal);
   CHECK(Classify(SystemCall::kAccept, EBADF) == ErrorClass::kFatal);
   CHECK(Classify(SystemCall::kStorage, ENOENT) == ErrorClass::kFatal);
 }
 
-TEST_CASE("an attempt at a start is made again after a transient error alone") {
+TEST_CASE("RetryAtStart retries only after a transient error") {
   int attempts = 0;
   CHECK(RetryAtStart(SystemCall::kBind, [&] {
     errno = EADDRINUSE;
--- a/tests/network/folder_owner_test.cpp
+++ b/tests/network/folder_owner_test.cpp
@@ -27,7 +27,7 @@
   std::string path;
 };
 
-TEST_CASE("a folder has one owner, until that one is gone") {
+TEST_CASE("a folder has one owner at a time") {
   const StateFolder folder;
   std::optional<FolderOwner> first(folder.path);
   FolderOwner second(folder.path);
@@ -39,7 +39,7 @@
   CHECK(second.Acquire() == Outcome::kHeld);
 }
 
-TEST_CASE("an owner reads what the one before has left") {
+TEST_CASE("an owner reads the note of its predecessor") {
   const StateFolder folder;
   CHECK(FolderOwner(folder.path).Acquire() == Outcome::kHeld);
   {
@@ -56,9 +56,9 @@
   CHECK(fs::file_size(folder.path + "/owner") <= FolderOwner::kMaxBytesOnDisk);
 }
 
-// Guards against a process that has locked the folder, but waits for its address, taking the last
-// word of its predecessor away.
-TEST_CASE("a lock alone leaves the predecessor's note as it is") {
+// Guards against overwriting the predecessor's note by a process that has locked the folder but
+// still waits for its address.
+TEST_CASE("a lock alone does not change the predecessor's note") {
   const StateFolder folder;
   {
     FolderOwner owner(folder.path);
@@ -68,7 +68,7 @@
   {
     FolderOwner waits_in_vain(folder.path);
     REQUIRE(waits_in_vain.Lock() == Outcome::kHeld);
-    waits_in_vain.RecordEnd(0);  // it has nothing to say
+    waits_in_vain.RecordEnd(0);  // no effect, as it has not acquired the folder
   }
   FolderOwner owner(folder.path);
   REQUIRE(owner.Lock() == Outcome::kHeld);
@@ -77,17 +77,17 @@
   CHECK(owner.predecessor().open_messages == 7);
 }
 
-TEST_CASE("a predecessor's note is read behind its end, not when the folder was locked") {
+TEST_CASE("a predecessor's note is read after its end, not when the folder was locked") {
   const StateFolder folder;
   FolderOwner owner(folder.path);
   REQUIRE(owner.Lock() == Outcome::kHeld);
-  std::ofstream(folder.path + "/owner") << "pid 12\nopen 3\n";  // of one without a lock
+  std::ofstream(folder.path + "/owner") << "pid 12\nopen 3\n";  // written without a lock
   REQUIRE(owner.Acquire() == Outcome::kHeld);
   CHECK(owner.predecessor().process_id == 12);
   CHECK(owner.predecessor().open_messages == 3);
 }
 
-TEST_CASE("a note that can't be understood says nothing") {
+TEST_CASE("a note that can't be parsed is ignored") {
   for (const char* text : {"", "pid", "pid x", "open", "\0\1", "open 5x pid 3"}) {
     const StateFolder folder;
     std::ofstream(folder.path + "/owner") << text;
@@ -104,7 +104,7 @@
   CHECK(owner.ReadHolder().process_id == 0);
 }
 
-TEST_CASE("a spool touches nothing in a folder that another process owns") {
+TEST_CASE("a spool changes nothing in a folder that another process owns") {
   const StateFolder folder;
   std::ofstream(folder.path + "/spool") << "BRSPOOL1torn";
   std::ofstream(folder.path + "/spool.new") << "being written";
--- a/tests/network/http_request_test.cpp
+++ b/tests/network/http_request_test.cpp
@@ -13,7 +13,7 @@
   return reader;
 }
 
-TEST_CASE("a request is the same in any cuts, and what comes behind it does not matter") {
+TEST_CASE("a request is parsed from any chunks, and bytes after it are ignored") {
   const std::string text =
       "POST /maintenance/enter?id=a&x=1 HTTP/1.1\r\nHost: h\r\ncontent-length:  3 \r\n\r\nabcGET /";
   for (int seed = 0; seed < testing::kRounds; ++seed) {
@@ -27,13 +27,13 @@
   }
 }
 
-TEST_CASE("a request is not done before its head and its body have come") {
+TEST_CASE("a request is not done before its head and body are complete") {
   CHECK_FALSE(Read("GET / HTTP/1.1\r\n").done());
   CHECK_FALSE(Read("POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\na").done());
   CHECK(Read("POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nab").done());
 }
 
-TEST_CASE("bad requests have a status each") {
+TEST_CASE("each kind of invalid request has its status") {
   const std::string long_head = "GET /" + std::string(HttpRequestReader::kMaxHeadBytes, 'x');
   CHECK(Read("GET /\r\n\r\n").error() == 400);
   CHECK(Read("GET / HTTP/2.0\r\n\r\n").error() == 400);
@@ -45,7 +45,7 @@
   CHECK(Read(long_head).error() == 431);
 }
 
-TEST_CASE("a parameter of a query is percent-decoded") {
+TEST_CASE("a query parameter is percent-decoded") {
   CHECK(QueryParameter("x=1&id=a%2Fb", "id") == "a/b");
   CHECK(QueryParameter("id=", "id") == "");
   CHECK(QueryParameter("idx=1", "id") == std::nullopt);
@@ -53,7 +53,7 @@
   CHECK(QueryParameter("id=%zz", "id") == std::nullopt);
 }
 
-TEST_CASE("garbage is read or refused, and nothing else happens") {
+TEST_CASE("a garbled request is parsed or rejected") {
   for (int seed = 0; seed < testing::kRounds; ++seed) {
     HttpRequestReader reader;
     reader.Feed(testing::Garbage("GET /status?id=a HTTP/1.1\r\nHost: h\r\n\r\n", seed));
--- a/tests/network/http_test.cpp
+++ b/tests/network/http_test.cpp
@@ -21,7 +21,7 @@
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n"
     "5\r\nhello\r\nA;x=y\r\n, world !!\r\n0\r\nTrailer: x\r\n\r\n";
 
-TEST_CASE("answers come whole out of any cuts") {
+TEST_CASE("responses are parsed from any chunks") {
   for (int seed = 0; seed < testing::kRounds; ++seed) {
     const HttpReader plain = Read(kPlain, seed);
     REQUIRE(plain.done());
@@ -36,7 +36,7 @@
   }
 }
 
-TEST_CASE("garbage never crashes the reader or passes its bound") {
+TEST_CASE("garbage never crashes the reader or exceeds its maximum body size") {
   int broken = 0;
   for (int seed = 0; seed < testing::kRounds; ++seed) {
     for (const std::string_view text : {kPlain, kChunked}) {
@@ -51,7 +51,7 @@
   CHECK(broken > testing::kRounds / 2);
 }
 
-TEST_CASE("where an answer ends") {
+TEST_CASE("the end of a response is detected") {
   CHECK(Read("HTTP/1.1 204 No Content\r\n\r\n").done());
   CHECK(
       Read("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").status() ==
@@ -66,10 +66,10 @@
   HttpReader cut = Read("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc");
   cut.FeedEnd();
   CHECK(cut.broken());
-  CHECK(cut.status() == 200);  // the first line stands all the same
+  CHECK(cut.status() == 200);  // the status line remains valid
 }
 
-TEST_CASE("answers that cannot be read") {
+TEST_CASE("invalid responses break the reader") {
   for (const char* text :
        {"HTTP/2 200 OK\r\n", "HTTP/1.1 2x0 OK\r\n", "HTTP/1.1 2000 OK\r\n",
         "HTTP/1.1 200 OK\r\nno colon\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
@@ -81,7 +81,7 @@
   CHECK(Read("HTTP/1.1 200 OK\r\nA: " + std::string(20'000, 'x')).broken());
 }
 
-TEST_CASE("what comes behind a whole answer leaves it good and ends the connection's use") {
+TEST_CASE("bytes after a complete response don't change it and end the use of the connection") {
   for (int seed = 0; seed < testing::kRounds; ++seed) {
     for (const std::string_view text : {kPlain, kChunked}) {
       const std::string behind = testing::Garbage(text, seed) + "x";
@@ -93,7 +93,7 @@
   }
 }
 
-TEST_CASE("an interim answer does not begin the real one") {
+TEST_CASE("an interim response does not begin the final one") {
   HttpReader reader;
   CHECK_FALSE(reader.begun());
   reader.Feed("HTTP/1.1 102 Processing\r\n");
@@ -106,24 +106,24 @@
   CHECK(reader.begun());
 }
 
-TEST_CASE("a stream that stays open is read bit by bit") {
+TEST_CASE("a stream that stays open is read in parts") {
   HttpReader reader;
   reader.Feed("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nab");
   CHECK(reader.head_done());
   CHECK(reader.TakeBody() == "ab");
   reader.Feed("c\r\n1\r\n\n\r\n");
   CHECK(reader.TakeBody() == "c\n");
-  for (int i = 0; i < 10'000; ++i) reader.Feed("1\r\n\n\r\n");  // no bound adds up over its life
+  for (int i = 0; i < 10'000; ++i) reader.Feed("1\r\n\n\r\n");  // no limit on the whole stream
   CHECK(reader.TakeBody().size() == 10'000);
 }
 
-TEST_CASE("requests") {
+TEST_CASE("requests are formatted") {
   CHECK(HttpPost("/events", "h:1", {{"A", "b"}}, "xyz") ==
         "POST /events HTTP/1.1\r\nHost: h:1\r\nA: b\r\nContent-Length: 3\r\n\r\nxyz");
   CHECK(HttpGet("/x", "h:1") == "GET /x HTTP/1.1\r\nHost: h:1\r\n\r\n");
 }
 
-TEST_CASE("base64") {
+TEST_CASE("bytes are encoded as base64") {
   CHECK(EncodeBase64("") == "");
   CHECK(EncodeBase64("f") == "Zg==");
   CHECK(EncodeBase64("fo") == "Zm8=");
--- a/tests/network/idle_connection_budget_test.cpp
+++ b/tests/network/idle_connection_budget_test.cpp
@@ -1,4 +1,4 @@
-// How long idle connections are kept, over one forwarder and over a hundred.
+// Tests how long idle connections are kept, by one forwarder and by a hundred.
 #include "net/idle_connection_budget.hpp"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,8 @@
 constexpr std::size_t kGroup = 100;
 const IdleConnectionBudget::Time kStart{std::chrono::hours(1)};
 
-// Routes that take several calls at once from each forwarder of a small group find them open again.
+// With these budgets, an endpoint that gets several concurrent calls from each forwarder of a small
+// group has open connections for the next calls.
 TEST_CASE("a forwarder of a small group keeps its budget of eight connections, four at most") {
   for (const auto& [group, most] :
        {std::pair<std::size_t, std::size_t>{0, 4}, {1, 4}, {2, 4}, {3, 3}, {4, 2}}) {
@@ -29,7 +30,8 @@
     for (int i = 0; i < 50; ++i) budget.OnCall(kStart + i * gap);
     const auto now = kStart + 50 * gap;
     CHECK(budget.MaxIdleConnections(now) == 1);
-    // The part of the time that each holds one, by the group: idle connections at once.
+    // The share of time for which each forwarder keeps a connection, times the size of the group:
+    // the mean number of idle connections.
     const double held = budget.IdleTimeout(now, kIdle) / Seconds(gap) * kGroup;
     CHECK(held <= 8.5);
   }
--- a/tests/network/json_test.cpp
+++ b/tests/network/json_test.cpp
@@ -12,7 +12,7 @@
     R"({"revision":43,"complete":false,"members":[{"id":"s-5be2","host_port":"127.0.0.1:6379",)"
     R"("locality":"a","flavor":"m2","cell":3,"phase":"Terminating","size":1.5,"up_since_ms":0}]})";
 
-TEST_CASE("values") {
+TEST_CASE("values are parsed") {
   const json::Value v =
       json::Parse(R"( {"a":[1,-2.5e1,true,null,"x\n\u00e9\ud83d\ude00"],"b":{}} )");
   const auto& items = v.At("a").Items();
@@ -27,25 +27,25 @@
   CHECK_THROWS_AS(static_cast<void>(items[0].Text()), json::Error);
 }
 
-TEST_CASE("what is not JSON is refused") {
+TEST_CASE("text that is not JSON is rejected") {
   for (const char* text : {"", "{", "[1,]", "{\"a\":1,}", "01", "1.", "+1", "nul", "\"a", "\"\\x\"",
                            "\"\\ud800\"", "\"\\udc00\"", "\"\t\"", "[1] 2", "{a:1}", "1e999"}) {
     CHECK_THROWS_AS_MESSAGE(json::Parse(text), json::Error, text);
   }
 }
 
-TEST_CASE("bounds hold") {
+TEST_CASE("limits on size and depth are enforced") {
   CHECK_THROWS_AS(json::Parse(std::string(33, '[') + std::string(33, ']')), json::Error);
   CHECK_NOTHROW(json::Parse(std::string(32, '[') + std::string(32, ']')));
   CHECK_THROWS_AS(json::Parse("[1,2,3]", {.bytes = 6, .depth = 1}), json::Error);
 }
 
-TEST_CASE("quoting is read back") {
+TEST_CASE("quoted text is parsed back") {
   const std::string text = "a\"b\\c\n\x01";
   CHECK(json::Parse(json::Quote(text)).Text() == text);
 }
 
-TEST_CASE("a list of members") {
+TEST_CASE("a list of members is parsed") {
   const MemberList list = ReadMemberList(json::Parse(kList));
   CHECK(list.revision == 43);
   CHECK_FALSE(list.complete);
@@ -55,7 +55,7 @@
   CHECK(list.members[0].weight == 1.5);
 }
 
-TEST_CASE("objects in any layout come whole out of any cuts, empty and other lines too") {
+TEST_CASE("objects in any layout are split from any chunks, as are empty and other lines") {
   const std::string indented = "{\n  \"a\": [\n    \"}\\\"]{\\\\\"\n  ],\n\n  \"b\": {}\n}";
   const std::string text =
       "\n" + std::string(kList) + "\r\n\nlast\n" + indented + indented + "  \r\n \n";
@@ -77,7 +77,7 @@
   CHECK(nested.broken());
 }
 
-TEST_CASE("garbage is refused or read, and nothing else happens") {
+TEST_CASE("garbled JSON is parsed or rejected") {
   int refused = 0;
   for (int seed = 0; seed < testing::kRounds; ++seed) {
     try {
--- a/tests/network/log_test.cpp
+++ b/tests/network/log_test.cpp
@@ -1,4 +1,5 @@
-// The structured log: its three forms, what it leaves out, and a reader that stands still.
+// Tests the structured log: its three formats, omitted lines, and a reader that has stopped
+// reading.
 #include "observe/log.hpp"
 
 #include <doctest/doctest.h>
@@ -15,7 +16,7 @@
 namespace brassfront::observe {
 namespace {
 
-// A log into a pipe, and back to the usual one.
+// Redirects the log into a pipe, and restores the default log in the destructor.
 class PipedLog {
  public:
   explicit PipedLog(LogOptions options) {
@@ -37,7 +38,7 @@
     }
     return all;
   }
-  // The lines without their times, each of which must have one.
+  // Returns the lines without their times; each line must have one.
   std::string ReadWithoutTimes() {
     static const std::regex kTime(R"(\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z \+\d+ms (.*))");
     std::istringstream lines(Read());
@@ -54,7 +55,7 @@
   int ends_[2] = {-1, -1};
 };
 
-TEST_CASE("an event has the same fields in each form") {
+TEST_CASE("an event has the same fields in each format") {
   const auto line = [](Format format) {
     return FormatLine(format, {1'700'000'000'007, 42}, Concern::kClient, Level::kInfo,
                       "connection ended",
@@ -80,10 +81,10 @@
   CHECK(log.ReadWithoutTimes() == "seen n=1\n");
 }
 
-TEST_CASE("a reader that stands still stops nobody, and is told what it missed") {
+TEST_CASE("a reader that stops reading blocks no writer, and gets the number of dropped lines") {
   PipedLog log({});
   const std::string long_text(500, 'x');
-  constexpr int kLines = 1000;  // some 500 KiB, and a pipe holds 64
+  constexpr int kLines = 1000;  // about 500 KiB; the capacity of a pipe is 64 KiB
   for (int i = 0; i < kLines; ++i) Log(Concern::kEngine, Level::kInfo, "line", {{"t", long_text}});
   const std::string first = log.Read();
   const auto lines = std::count(first.begin(), first.end(), '\n');
@@ -94,7 +95,7 @@
         "log lines dropped count=" + std::to_string(kLines - lines) + "\nafter\n");
 }
 
-TEST_CASE("repeats are left out and counted; other names are not touched by them") {
+TEST_CASE("repeats are omitted and counted, separately for each name") {
   Repeats repeats(2);
   const auto second = std::chrono::seconds(1);
   CHECK(repeats.Take("a", {}) == 0);
@@ -106,7 +107,7 @@
   CHECK(repeats.Take("a", second) == 0);
 }
 
-TEST_CASE("a repeated event says how many were left out") {
+TEST_CASE("repeats of an event are omitted only when logged with LogSeldom") {
   PipedLog log({.max_repeats = 1});
   LogSeldom(Concern::kSpool, Level::kWarning, "spool full");
   LogSeldom(Concern::kSpool, Level::kWarning, "spool full");
@@ -114,7 +115,7 @@
   CHECK(log.ReadWithoutTimes() == "spool full\nspool full\n");
 }
 
-TEST_CASE("names of forms and levels") {
+TEST_CASE("the names of formats and levels are parsed") {
   Format format{};
   Level level{};
   CHECK(ParseFormat("json", format));
--- a/tests/network/message_trace_test.cpp
+++ b/tests/network/message_trace_test.cpp
@@ -1,4 +1,4 @@
-// Histories of accepted messages: states, steps, and which messages are overdue.
+// Tests the histories of accepted messages: states, steps, and overdue messages.
 #include "forwarder/message_trace.hpp"
 
 #include <doctest/doctest.h>
@@ -24,7 +24,7 @@
   trace.Note(1, milliseconds(11), TraceStep::kGivenUp, 1);
   CHECK(trace.State(1) == MessageState::kNotifying);
   trace.Note(1, milliseconds(12), TraceStep::kCompleted, 4);
-  CHECK(trace.State(1) == MessageState::kNotifying);  // the notice is still recovered
+  CHECK(trace.State(1) == MessageState::kNotifying);  // the notification is still to be confirmed
   CHECK(trace.History(1) ==
         "accepted+0 acknowledged+1 started+5(12) completed+9(2) started+10(3) given-up+11(1) "
         "completed+12(4)");
@@ -32,7 +32,7 @@
   CHECK(trace.State(1) == MessageState::kOver);
   CHECK(trace.size() == 0);
   CHECK(trace.NextOverdue() == MessageTrace::Time::max());
-  trace.Note(1, milliseconds(20), TraceStep::kCompleted);  // late: passed over
+  trace.Note(1, milliseconds(20), TraceStep::kCompleted);  // too late, so it is ignored
   CHECK(trace.History(1).empty());
 }
 
@@ -52,11 +52,11 @@
   CHECK(trace.TakeOverdue(seconds(2) + MessageTrace::kGrace).empty());
   CHECK(trace.TakeOverdue(seconds(9)).size() == 1);
   CHECK(trace.overdue() == 2);
-  trace.Note(2, seconds(9), TraceStep::kNotified);  // late, but it ends
+  trace.Note(2, seconds(9), TraceStep::kNotified);  // late, but it ends the message
   CHECK(trace.size() == 1);
 }
 
-TEST_CASE("of a long history the first and the last steps are kept") {
+TEST_CASE("the first and the last steps of a long history are kept") {
   MessageTrace trace;
   trace.Begin(1, {}, seconds(20), TraceStep::kAccepted);
   for (std::uint32_t i = 1; i <= 200; ++i) trace.Note(1, milliseconds(i), TraceStep::kStarted, i);
--- a/tests/network/notification_client_test.cpp
+++ b/tests/network/notification_client_test.cpp
@@ -1,4 +1,5 @@
-// Posts on real sockets: what is posted and when is tested with forwarder/notification_outbox.
+// Tests posts on real sockets. The tests of forwarder/notification_outbox check what is posted
+// when.
 #include "net/notification_client.hpp"
 
 #include <doctest/doctest.h>
@@ -13,10 +14,10 @@
 constexpr std::size_t kMaxPosts = 2;
 constexpr std::string_view kBody = "{}\n";
 
-// A listener that takes posts and answers when it is told to.
+// A listener that accepts posts and answers them when Confirm is called.
 class ClientFixture {
  public:
-  // The next connection, once a whole post has come on it.
+  // Accepts the next connection and reads a complete post on it.
   Socket TakePost() {
     Socket socket = Accept(listener);
     std::string got;
@@ -33,7 +34,7 @@
                             [this](NotificationPostResult result) { results.Push(result); }};
 };
 
-TEST_CASE_FIXTURE(ClientFixture, "a post is carried beside one that is not answered") {
+TEST_CASE_FIXTURE(ClientFixture, "a post is sent while another one is not answered") {
   client.Start(1, std::string(kBody));
   Socket first = TakePost();
   client.Start(2, std::string(kBody));
@@ -61,7 +62,7 @@
   CHECK(results.Pop()->post == 3);
 }
 
-TEST_CASE_FIXTURE(ClientFixture, "a post that is abandoned before it began is not carried") {
+TEST_CASE_FIXTURE(ClientFixture, "a post that is abandoned before it began is not sent") {
   client.Start(1, std::string(kBody));
   client.Start(2, std::string(kBody));
   Socket first = TakePost();
@@ -75,23 +76,23 @@
   CHECK(ended->status == 0);
 }
 
-// Guards against connections that fell silent unnoticed being used one after another.
-TEST_CASE_FIXTURE(ClientFixture, "a post that may not reuse a connection comes on a new one") {
+// Guards against reusing one connection after another whose peer became silent unnoticed.
+TEST_CASE_FIXTURE(ClientFixture, "a post that may not reuse a connection is sent on a new one") {
   client.Start(1, std::string(kBody));
   Socket first = TakePost();
   Confirm(first);
   CHECK(results.Pop()->post == 1);
   client.Start(2, std::string(kBody), NotificationClient::Reuse::kForbidden);
-  Socket second = TakePost();  // of a new connection
+  Socket second = TakePost();  // on a new connection
   Confirm(second);
   CHECK(results.Pop()->post == 2);
   client.Start(3, std::string(kBody), NotificationClient::Reuse::kForbidden);
-  Socket third = TakePost();  // though both were open
+  Socket third = TakePost();  // on a new connection too, although both were open
   Confirm(third);
   CHECK(results.Pop()->post == 3);
 }
 
-TEST_CASE_FIXTURE(ClientFixture, "posts go to another address once it is given") {
+TEST_CASE_FIXTURE(ClientFixture, "posts go to a new address after SetAddress") {
   client.Start(1, std::string(kBody));
   Socket first = TakePost();
   Socket moved = Listen("127.0.0.1:0");
--- a/tests/network/resp_test.cpp
+++ b/tests/network/resp_test.cpp
@@ -19,7 +19,7 @@
                                        "c=notice,t=acme,d=8000,k=5c0f,dest=7,r=1",
                                        std::string("a\r\nb\0c", 6)};
 
-TEST_CASE("commands come whole out of any cuts") {
+TEST_CASE("commands are parsed from any chunks") {
   const std::string text = Command({"PING"}) + Command(kPut) + Command({"PING", ""});
   for (int seed = 0; seed < testing::kRounds; ++seed) {
     RespReader reader;
@@ -31,7 +31,7 @@
   }
 }
 
-TEST_CASE("garbage never crashes the reader and a broken one stays so") {
+TEST_CASE("garbage never crashes the reader, and a broken reader stays broken") {
   const std::string text = Command(kPut) + Command({"PING"}) + Command(kPut);
   int broken = 0;
   for (int seed = 0; seed < testing::kRounds; ++seed) {
@@ -48,7 +48,7 @@
   CHECK(broken > testing::kRounds / 2);
 }
 
-TEST_CASE("a word that is too long is passed over and the next command is read") {
+TEST_CASE("a word that is too long is skipped and the next command is parsed") {
   RespReader reader;
   reader.Feed(Command({"MSG.PUT", std::string(kMaxBodyBytes + 1, 'x')}) + Command({"PING"}));
   REQUIRE(reader.commands().size() == 2);
@@ -58,7 +58,7 @@
   CHECK_FALSE(reader.commands()[2].oversize);
 }
 
-TEST_CASE("many words that are long together are passed over too") {
+TEST_CASE("words whose total size is too large are skipped too") {
   RespReader reader;
   reader.Feed(Command(std::vector<std::string>(10, std::string(kMaxBodyBytes, 'x'))));
   REQUIRE(reader.commands().size() == 1);
@@ -68,7 +68,7 @@
   CHECK(kept <= 2 * kMaxBodyBytes);
 }
 
-TEST_CASE("framing that cannot be read breaks the stream") {
+TEST_CASE("a framing error breaks the stream") {
   for (const char* text : {"PING\r\n", "*x\r\n", "*-1\r\n", "*65\r\n", "*1\r\n+OK\r\n",
                            "*1\r\n$3\r\nabcd\r\n", "*1\r\n$99999999999\r\n"}) {
     RespReader reader;
@@ -77,7 +77,7 @@
   }
 }
 
-TEST_CASE("the fields of an envelope") {
+TEST_CASE("the fields of a delivery request are parsed") {
   const DeliveryRequest e = ParseDeliveryRequest(std::vector<std::string>(kPut));
   CHECK(e.id == "9b1f03aa5c7e2d41");
   CHECK(e.class_name == "notice");
@@ -88,7 +88,7 @@
   CHECK(e.body.size() == 6);
 }
 
-TEST_CASE("envelopes that cannot be taken are told apart from good ones") {
+TEST_CASE("invalid delivery requests are rejected") {
   const auto put = [](std::string id, std::string fields) {
     return ParseDeliveryRequest({"MSG.PUT", "0", std::move(id), std::move(fields), "body"});
   };
@@ -96,7 +96,7 @@
   CHECK_THROWS_AS(ParseDeliveryRequest({"MSG.PUT", "0", "i"}), InvalidDeliveryRequest);
   CHECK_THROWS_AS(put("", "c=n,d=1,dest=1"), InvalidDeliveryRequest);
   CHECK_THROWS_AS(put("i\r\nX: y", "c=n,d=1,dest=1"),
-                  InvalidDeliveryRequest);  // would forge a header
+                  InvalidDeliveryRequest);  // would inject a header
   CHECK_THROWS_AS(put("i", "c=n,d=1,dest=1,k=a b"), InvalidDeliveryRequest);
   CHECK_THROWS_AS(put("i", "c=n,d=-1,dest=1"), InvalidDeliveryRequest);
   CHECK_THROWS_AS(put("i", "c=n,d=99999999999999999999,dest=1"), InvalidDeliveryRequest);
@@ -107,7 +107,7 @@
   CHECK_THROWS_AS(put("i", "c=n,d=1,dest"), InvalidDeliveryRequest);
 }
 
-TEST_CASE("a reply is one line whatever its text") {
+TEST_CASE("an error reply is a single line, with any text") {
   CHECK(RespError("ERR", "a\r\nb") == "-ERR a  b\r\n");
   CHECK(RespError("BUSY", "") == "-BUSY\r\n");
 }
--- a/tests/network/spool_clock_test.cpp
+++ b/tests/network/spool_clock_test.cpp
@@ -1,4 +1,4 @@
-// The spool's clock over steps of the wall clock, restarts of the process and of the machine.
+// Tests the spool's clock with steps of the wall clock and restarts of the process and the machine.
 #include "spool/spool_clock.hpp"
 
 #include <doctest/doctest.h>
@@ -16,7 +16,7 @@
   return {boot, kFirst.monotonic + passed, kFirst.wall + passed + step};
 }
 
-TEST_CASE("real time passes between two processes, however the wall clock was stepped") {
+TEST_CASE("real time passes between two processes, regardless of steps of the wall clock") {
   SpoolClock first;
   REQUIRE(first.Begin(std::nullopt, {}, kFirst));
   const UnixMs before = first.TimeAt(kFirst.monotonic);
@@ -24,12 +24,12 @@
        {milliseconds(0), milliseconds(-2000), milliseconds(hours(1)), milliseconds(hours(-1))}) {
     SpoolClock second;
     const MachineTime now = Later(seconds(3), step);
-    CHECK_FALSE(second.Begin(first.anchor(), {}, now));  // the stored anchor is followed
+    CHECK_FALSE(second.Begin(first.anchor(), {}, now));  // the stored anchor remains valid
     CHECK(second.TimeAt(now.monotonic) - before == seconds(3));
   }
 }
 
-TEST_CASE("after a start of the machine the wall clock counts, and never runs behind the file") {
+TEST_CASE("after a reboot the wall clock counts, but time never goes back before the file's") {
   SpoolClock first;
   first.Begin(std::nullopt, {}, kFirst);
   SpoolClock second;
@@ -42,7 +42,7 @@
   CHECK(third.TimeAt(backward.monotonic) == kFirst.wall);
 }
 
-TEST_CASE("a boot that is not known, or a monotonic clock that went back, is another boot") {
+TEST_CASE("an unknown boot id, or a monotonic clock that went back, counts as another boot") {
   SpoolClock first;
   first.Begin(std::nullopt, {}, kFirst);
   SpoolClock second;
--- a/tests/network/spool_record_test.cpp
+++ b/tests/network/spool_record_test.cpp
@@ -1,5 +1,5 @@
-// The stored form of the spool's records. The bytes here are those of the first version: files that
-// hold them must stay readable.
+// Tests the stored format of the spool's records. The bytes are those of the first version: files
+// with such records must stay readable.
 #include "spool/spool_record.hpp"
 
 #include <doctest/doctest.h>
@@ -9,7 +9,7 @@
 namespace brassfront::spool {
 namespace {
 
-// An array of bytes with zeros in it, as a string.
+// Returns a string literal, which may contain zero bytes, as a string.
 template <std::size_t size>
 std::string Bytes(const char (&literal)[size]) {
   return std::string(literal, size - 1);
@@ -51,15 +51,15 @@
   CHECK(PayloadOf(Encode(MessageFinished{2})) == Bytes("E\2\0\0\0\0\0\0\0"));
 }
 
-// Guards against earlier versions taking a give-up for damage, or for the outcome of an attempt.
-TEST_CASE("a give-up is stored as the outcome of an attempt that no message has") {
+// Guards against earlier versions mistaking a give-up for damage or for the outcome of an attempt.
+TEST_CASE("a give-up is stored as the outcome of an attempt that does not exist") {
   CHECK(PayloadOf(Encode(MessageGivenUp{2, {}})) == Bytes("N\2\0\0\0\0\0\0\0\0\0\0\0\0\0\0\x80"));
   const SpooledGiveUp deferral{.retry_allowed = true, .retry_after = UnixMs(258)};
   CHECK(PayloadOf(Encode(MessageGivenUp{2, deferral})) ==
         Bytes("N\2\0\0\0\0\0\0\0\2\1\0\0\0\0\0\xc0"));
 }
 
-TEST_CASE("the frame holds the payload's length and its CRC-32, low byte first") {
+TEST_CASE("the frame has the payload's length and its CRC-32, low byte first") {
   const std::string record = Encode(MessageFinished{2});
   const FrameHeader header = DecodeFrameHeader(record.substr(0, kFrameBytes));
   CHECK(header.payload_bytes == 9);
@@ -112,7 +112,7 @@
   CHECK_FALSE(IsIntact(header, payload.substr(1)));
 }
 
-TEST_CASE("a payload that is cut anywhere or has a byte too many is not decoded") {
+TEST_CASE("a payload that is cut off anywhere or has an extra byte is not decoded") {
   for (const std::string& record :
        {Encode(MessageAccepted{1, kMessage}), Encode(AttemptStarted{2, "e", UnixMs(3)}),
         Encode(AttemptNotRun{2, 1}), Encode(MessageGivenUp{2, {}}), Encode(MessageFinished{2})}) {
--- a/tests/network/spool_test.cpp
+++ b/tests/network/spool_test.cpp
@@ -15,7 +15,7 @@
 
 namespace fs = std::filesystem;
 
-// A folder of its own, gone at the end.
+// A temporary folder, removed by the destructor.
 class Folder {
  public:
   Folder() : path_(MakeFolder()), owner_(path_) {}
@@ -84,15 +84,15 @@
   CHECK(spool.next_number() == 4);
 }
 
-// Guards against a message being tried again whose notification an earlier process had posted.
-TEST_CASE("a give-up is recovered as it was decided, behind a compaction as well") {
+// Guards against retrying a message whose notification an earlier process has posted.
+TEST_CASE("a give-up is recovered as it was decided, also after a compaction") {
   const Folder folder;
   {
     Spool spool = Open(folder);
     for (SpoolId i = 1; i <= 3; ++i) REQUIRE(spool.Accept(i, Message(std::to_string(i))));
     spool.GiveUp(1, {.retry_allowed = true, .retry_after = UnixMs(250)});
     spool.GiveUp(2, {});
-    spool.GiveUp(2, {.retry_allowed = true});  // the first one holds
+    spool.GiveUp(2, {.retry_allowed = true});  // no effect: the first one counts
     spool.GiveUp(99, {});
   }
   SpoolId next = 10;
@@ -107,7 +107,7 @@
     REQUIRE(recovered[1].give_up);
     CHECK_FALSE(recovered[1].give_up->retry_allowed);
     CHECK_FALSE(recovered[2].give_up);
-    // Bytes of finished messages, until the file is smaller than before.
+    // Adds finished messages until a compaction has made the file smaller.
     for (std::size_t before = 0; !compacts && spool.file_bytes() >= before;) {
       REQUIRE(next < 100);
       before = spool.file_bytes();
@@ -117,7 +117,7 @@
   }
 }
 
-TEST_CASE("a tail that is torn at any byte is cut off") {
+TEST_CASE("an incomplete record at the end of the file is cut off, at any byte") {
   const Folder folder;
   std::size_t kept = 0;
   {
@@ -139,9 +139,9 @@
   }
 }
 
-TEST_CASE("a changed byte costs its record alone") {
+TEST_CASE("a changed byte loses only its record") {
   const Folder folder;
-  std::size_t first_message = 0;  // before it are the header and the clock's anchor
+  std::size_t first_message = 0;  // follows the header and the anchor of the clock
   {
     Spool spool = Open(folder);
     first_message = spool.file_bytes();
@@ -176,7 +176,7 @@
   SpoolId oldest = 1;
   for (SpoolId i = 1; i <= 2000; ++i) {
     refused += !spool.Accept(i, Message(std::to_string(i), 3000));
-    CHECK(spool.BeginAttempt(i, "e", UnixMs(1)));  // never refused for want of room
+    CHECK(spool.BeginAttempt(i, "e", UnixMs(1)));  // never rejected for lack of space
     most = std::max(most, spool.file_bytes());
     if (i >= 20) spool.Finish(oldest++);
   }
@@ -230,7 +230,7 @@
   CHECK_FALSE(fs::exists(folder.path() + "/spool.new"));
 }
 
-// Three stored messages, and where the second one's record lies.
+// Stores three messages, and has the position of the second one's record.
 struct StoredMessages {
   explicit StoredMessages(const Folder& folder) {
     Spool spool = Open(folder);
@@ -240,7 +240,7 @@
     end = spool.file_bytes();
     REQUIRE(spool.Accept(3, Message("third")));
   }
-  // Changes a byte of the second one in the file, and returns the file's bytes.
+  // Changes a byte of the second record in the file, and returns the new contents of the file.
   std::string SpoilSecond(const Folder& folder, std::string bytes) const {
     bytes[end - 1] = 'x';
     folder.Write(bytes);
@@ -256,7 +256,8 @@
   return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
 }
 
-// Checks what Recover returned: the second message with its client's id alone, the others whole.
+// Checks the result of Recover: the second message has only its client's id, the others are
+// complete.
 void CheckSecondIsGivenUp(const Spool& spool, const std::vector<RecoveredMessage>& recovered) {
   REQUIRE(recovered.size() == 3);
   CHECK(recovered[0].message.body == std::string(10, 'b'));
@@ -268,7 +269,7 @@
   CHECK(recovered[2].message.body == std::string(10, 'b'));
 }
 
-// Guards against an accepted message without an end, and against one that is delivered changed.
+// Guards against losing an accepted message, and against delivering a changed one.
 TEST_CASE("a record that changes after the file was read leaves a message to be given up") {
   const Folder folder;
   const StoredMessages stored(folder);
@@ -289,8 +290,8 @@
   }
 }
 
-// Guards against the message being lost where the process ends before it was given up.
-TEST_CASE("a message to be given up is still that at the next start") {
+// Guards against losing the message when the process ends before it was given up.
+TEST_CASE("a message to be given up is still to be given up at the next start") {
   const Folder folder;
   const StoredMessages stored(folder);
   {
@@ -318,7 +319,7 @@
   CHECK(spool.CountStoredOpen() == 3);
 }
 
-TEST_CASE("a message to be given up ends though the file can't be compacted") {
+TEST_CASE("a message to be given up can finish although the file can't be compacted") {
   const Folder folder;
   const StoredMessages stored(folder);
   {
@@ -332,7 +333,7 @@
   CHECK(Open(folder).open_messages() == 0);
 }
 
-TEST_CASE("damage that is found later is kept behind what was found first") {
+TEST_CASE("damage that is found later is kept after damage found earlier") {
   const Folder folder;
   const StoredMessages stored(folder);
   const std::string whole = folder.Read();
@@ -343,7 +344,7 @@
   CHECK(ReadKept(folder) == "torn" + changed.substr(stored.begin, stored.end - stored.begin));
 }
 
-TEST_CASE("an inspection leaves out a record that changes meanwhile, and the file as it is") {
+TEST_CASE("an inspection omits a record that changes meanwhile, and does not change the file") {
   const Folder folder;
   const StoredMessages stored(folder);
   int reports = 0;
@@ -355,7 +356,7 @@
   CHECK_FALSE(fs::exists(folder.path() + "/spool.cut"));
 }
 
-TEST_CASE("reading a spool leaves its file as it is") {
+TEST_CASE("reading a spool does not change its file") {
   const Folder folder;
   REQUIRE(Open(folder).Accept(1, Message("1")));
   const std::string torn = folder.Read() + "torn";
--- a/tests/network/standby_switch_test.cpp
+++ b/tests/network/standby_switch_test.cpp
@@ -9,7 +9,7 @@
 
 const SteadyTime kStart{std::chrono::hours(1)};
 
-TEST_CASE("setting the standby switch to what it is changes nothing") {
+TEST_CASE("setting the standby switch to its current value changes nothing") {
   StandbySwitch standby;
   CHECK_FALSE(standby.Set(false, kStart));
   CHECK(standby.Set(true, kStart));
--- a/tests/network/thread_pool_test.cpp
+++ b/tests/network/thread_pool_test.cpp
@@ -1,4 +1,4 @@
-// Threads that start and end with the work.
+// Tests that the threads of a pool start and end with the amount of work.
 #include "concurrency/thread_pool.hpp"
 
 #include <doctest/doctest.h>
