--- a/src/net/client_connection.hpp
+++ b/src/net/client_connection.hpp
@@ -43,7 +43,7 @@
   // The earliest time at which these commands may have been received: the time of the previous
   // read, if there was unread input once the commands of that read had been executed.
   SteadyTime received_at{};
-  bool input_waits = false;            // there was unread input after the last commands
+  bool had_unread_input = false;       // there was unread input after the last commands
   std::size_t commands = 0;            // number executed so far
   bool has_submitted_message = false;  // a valid message, accepted or rejected
   std::size_t consecutive_invalid_commands = 0;
--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -197,7 +197,7 @@
   connection.reader.Feed({buffer.span().data(), static_cast<std::size_t>(received)});
   if (!connection.reader.commands().empty() || connection.reader.broken()) {
     const SteadyTime now = std::chrono::steady_clock::now();
-    connection.received_at = connection.input_waits ? connection.read_at : now;
+    connection.received_at = connection.had_unread_input ? connection.read_at : now;
     connection.read_at = now;
     connections_.Unschedule(connection);
     connection.state = ClientConnection::State::kServing;
@@ -324,7 +324,7 @@
 
 void ClientServer::ServeCommands(ClientConnection& connection) {
   std::optional<CloseReason> close_reason = commands_.ExecutePending(connection);
-  connection.input_waits = connection.socket.HasInput();
+  connection.had_unread_input = connection.socket.HasInput();
   const std::lock_guard lock(mutex_);
   const bool between_commands = connection.reader.between_commands();
   if (!close_reason && between_commands && ClosesBetweenCommands()) {
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -44,17 +44,17 @@
 }
 
 void ConnectionPool::Discard(EndpointConnection connection, SteadyTime now) {
-  if (connection.socket.HasInput()) OnUnaskedInput(connection.endpoint, now);
+  if (connection.socket.HasInput()) OnUnsolicitedInput(connection.endpoint, now);
   Close(std::move(connection), CloseReason::kStale, now);
 }
 
 void ConnectionPool::Close(EndpointConnection connection, CloseReason reason, SteadyTime now) {
-  unsettled_answers_.OnRest(connection.id, now);
+  unsettled_answers_.OnIdle(connection.id, now);
   connection.Close(reason);
 }
 
 void ConnectionPool::CloseIdle(EndpointConnection& connection, CloseReason reason, SteadyTime now) {
-  if (connection.socket.HasInput()) OnUnaskedInput(connection.endpoint, now);
+  if (connection.socket.HasInput()) OnUnsolicitedInput(connection.endpoint, now);
   connection.Close(reason);
 }
 
@@ -62,8 +62,8 @@
 // shows that such an answer is wrong, so the connection stays open until they are settled.
 bool ConnectionPool::CloseIfSettled(EndpointConnection& connection, CloseReason reason,
                                     SteadyTime now) {
-  if (unsettled_answers_.IsUnrested(connection.id) && !connection.socket.HasInputOrEnd()) {
-    connection.closes_for = reason;
+  if (unsettled_answers_.AwaitsSettleTime(connection.id) && !connection.socket.HasInputOrEnd()) {
+    connection.pending_close_reason = reason;
     return false;
   }
   CloseIdle(connection, reason, now);
@@ -84,36 +84,37 @@
   return unsettled_answers_.Add(connection.id, connection.endpoint, now);
 }
 
-void ConnectionPool::OnUnaskedInput(std::uint64_t endpoint, SteadyTime now) {
-  std::erase_if(last_unasked_input_,
-                [now](const auto& entry) { return now - entry.second >= kUnaskedInputMemory; });
-  last_unasked_input_[endpoint] = now;
-  unsettled_answers_.OnUnaskedInput(endpoint);
+void ConnectionPool::OnUnsolicitedInput(std::uint64_t endpoint, SteadyTime now) {
+  std::erase_if(last_unsolicited_input_,
+                [now](const auto& entry) { return now - entry.second >= kUnsolicitedInputWindow; });
+  last_unsolicited_input_[endpoint] = now;
+  unsettled_answers_.OnUnsolicitedInput(endpoint);
 }
 
 void ConnectionPool::SettleAnswers(SteadyTime now) {
   std::erase_if(idle_, [&](EndpointConnection& connection) {
-    if (!unsettled_answers_.IsUnrested(connection.id)) return false;
+    if (!unsettled_answers_.AwaitsSettleTime(connection.id)) return false;
     if (!connection.socket.HasInputOrEnd()) return false;
     CloseIdle(connection, CloseReason::kStale, now);
     return true;
   });
   unsettled_answers_.Settle(now);
   std::erase_if(idle_, [&](EndpointConnection& connection) {
-    return connection.closes_for && CloseIfSettled(connection, *connection.closes_for, now);
+    return connection.pending_close_reason &&
+           CloseIfSettled(connection, *connection.pending_close_reason, now);
   });
 }
 
 bool ConnectionPool::IsReady(const EndpointConnection& connection, SteadyTime now) const {
-  if (connection.closes_for) return false;
+  if (connection.pending_close_reason) return false;
   if (now - connection.returned_at >= kSettleTime) return true;
-  return !HasShownUnaskedInput(connection.endpoint, now) &&
-         !unsettled_answers_.NeedsRest(connection.id, now);
+  return !HasSentUnsolicitedInput(connection.endpoint, now) &&
+         !unsettled_answers_.MustSettleBeforeReuse(connection.id, now);
 }
 
-bool ConnectionPool::HasShownUnaskedInput(std::uint64_t endpoint, SteadyTime now) const {
-  const auto unasked = last_unasked_input_.find(endpoint);
-  return unasked != last_unasked_input_.end() && now - unasked->second < kUnaskedInputMemory;
+bool ConnectionPool::HasSentUnsolicitedInput(std::uint64_t endpoint, SteadyTime now) const {
+  const auto found = last_unsolicited_input_.find(endpoint);
+  return found != last_unsolicited_input_.end() && now - found->second < kUnsolicitedInputWindow;
 }
 
 void ConnectionPool::Return(EndpointConnection connection, SteadyTime now) {
@@ -124,9 +125,9 @@
       budget.IdleTimeout(now, options_.connection_idle * kIdleTimeoutShare);
   connection.returned_at = now;
   connection.expires_at = now + std::chrono::duration_cast<SteadyTime::duration>(timeout);
-  unsettled_answers_.OnRest(connection.id, now);
+  unsettled_answers_.OnIdle(connection.id, now);
   idle_.push_back(std::move(connection));
-  const auto is_kept = [](const EndpointConnection& other) { return !other.closes_for; };
+  const auto is_kept = [](const EndpointConnection& other) { return !other.pending_close_reason; };
   const auto is_to_endpoint = [&](const EndpointConnection& other) {
     return is_kept(other) && other.endpoint == endpoint;
   };
--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -31,7 +31,7 @@
   SteadyTime returned_at{};  // when it became idle; only while idle
   // Only while idle: with a reason, the connection is not reused, and is closed with that reason
   // once its answers are settled.
-  std::optional<CloseReason> closes_for{};
+  std::optional<CloseReason> pending_close_reason{};
 
   // Closes the socket and writes the one log line that each connection gets.
   void Close(CloseReason reason);
@@ -46,11 +46,11 @@
     IdleConnectionBudget::Seconds connection_idle{};
   };
 
-  // For kUnaskedInputMemory after unsolicited input, a connection to that endpoint is reused only
-  // once it has been idle for kSettleTime: a late second answer would be read as the answer to the
-  // next call.
+  // For kUnsolicitedInputWindow after unsolicited input, a connection to that endpoint is reused
+  // only once it has been idle for kSettleTime: a late second answer would be read as the answer to
+  // the next call.
   static constexpr std::chrono::milliseconds kSettleTime = UnsettledAnswers::kSettleTime;
-  static constexpr std::chrono::seconds kUnaskedInputMemory{60};
+  static constexpr std::chrono::seconds kUnsolicitedInputWindow{60};
 
   explicit ConnectionPool(const Options& options) : options_(options) {}
   // Closes the idle connections as Shutdown does.
@@ -83,7 +83,7 @@
   [[nodiscard]] SharedAnswerCertainty OnAnswer(const EndpointConnection& connection,
                                                SteadyTime now);
   // Unsolicited input was received from this endpoint.
-  void OnUnaskedInput(std::uint64_t endpoint, SteadyTime now);
+  void OnUnsolicitedInput(std::uint64_t endpoint, SteadyTime now);
   // Checks the idle connections with unsettled answers for input, and settles the answers that can
   // be settled by now.
   void SettleAnswers(SteadyTime now);
@@ -104,13 +104,13 @@
                                     SteadyTime now);
   void DiscardStale(std::uint64_t endpoint, SteadyTime now);
   [[nodiscard]] bool IsReady(const EndpointConnection& connection, SteadyTime now) const;
-  [[nodiscard]] bool HasShownUnaskedInput(std::uint64_t endpoint, SteadyTime now) const;
+  [[nodiscard]] bool HasSentUnsolicitedInput(std::uint64_t endpoint, SteadyTime now) const;
 
   const Options options_;
   bool shut_down_ = false;
   std::vector<EndpointConnection> idle_;  // the most recently used last
   std::map<std::uint64_t, IdleConnectionBudget> budgets_;
-  std::map<std::uint64_t, SteadyTime> last_unasked_input_;  // by endpoint
+  std::map<std::uint64_t, SteadyTime> last_unsolicited_input_;  // by endpoint
   UnsettledAnswers unsettled_answers_;
   UnsettledAnswers::ConnectionId last_connection_id_ = 0;
 };
--- a/src/net/discovery_watcher.cpp
+++ b/src/net/discovery_watcher.cpp
@@ -45,8 +45,8 @@
 void DiscoveryWatcher::WatchOnce(const std::string& address) {
   timeouts_.OnPollStarted(std::chrono::steady_clock::now());
   const std::string path = "/api/targets?watch=1&from=" + std::to_string(revision_);
-  HttpReader reader(ObjectCutter::kMaxObjectBytes);
-  ObjectCutter lists;
+  HttpReader reader(JsonObjectSplitter::kMaxObjectBytes);
+  JsonObjectSplitter lists;
   const auto on_bytes = [&](HttpReader& response) { return ConsumeBody(response, lists); };
   const auto give_up_at = [this] { return timeouts_.GiveUpAt(); };
   // The result does not matter: the next request is made after the delay in any case.
@@ -54,7 +54,7 @@
 }
 
 // Returns false if the response can't be used.
-bool DiscoveryWatcher::ConsumeBody(HttpReader& response, ObjectCutter& lists) {
+bool DiscoveryWatcher::ConsumeBody(HttpReader& response, JsonObjectSplitter& lists) {
   if (response.head_done() && response.status() != kHttpOk) return false;
   for (const std::string& text : lists.Feed(response.TakeBody())) {
     timeouts_.OnProgress(std::chrono::steady_clock::now());
@@ -67,7 +67,8 @@
 // Returns false if the text is not an endpoint list.
 bool DiscoveryWatcher::ConsumeList(const std::string& text) {
   try {
-    MemberList list = ReadMemberList(json::Parse(text, {.bytes = ObjectCutter::kMaxObjectBytes}));
+    MemberList list =
+        ReadMemberList(json::Parse(text, {.bytes = JsonObjectSplitter::kMaxObjectBytes}));
     revision_ = list.revision;
     on_list_(std::move(list));
     return true;
--- a/src/net/discovery_watcher.hpp
+++ b/src/net/discovery_watcher.hpp
@@ -39,7 +39,7 @@
  private:
   void WatchLoop();
   void WatchOnce(const std::string& address);
-  bool ConsumeBody(HttpReader& response, ObjectCutter& lists);
+  bool ConsumeBody(HttpReader& response, JsonObjectSplitter& lists);
   bool ConsumeList(const std::string& text);
   void LogRefused(const std::string& text, std::string_view reason) const;
 
--- a/src/net/endpoint_client.cpp
+++ b/src/net/endpoint_client.cpp
@@ -184,7 +184,7 @@
       continue;
     }
     if (connection.socket.SendAll(call.request)) {
-      const SteadyTime written_at = NoteWritten(connection);
+      const SteadyTime written_at = RecordWritten(connection);
       return ReadResponse(std::move(connection), call, written_at);
     }
     // The request is not complete, so it did not run. A reused connection may have ended unnoticed
@@ -249,7 +249,7 @@
   const StopReason stop = call.stop_reason();
   const std::size_t calls_on_connection = ++connection.calls;
   SharedAnswerCertainty certainty =
-      NoteEnd(connection, written_at, CallEndOf(reader, stop), reader);
+      RecordEnd(connection, written_at, CallEndOf(reader, stop), reader);
   // The connection is returned or closed before the result is passed on, so that the connection of
   // a stopped call is closed by then.
   if (reader.done() && reader.keep_alive() && stop == StopReason::kNone) {
@@ -286,7 +286,7 @@
   connections_.Close(std::move(connection), reason, std::chrono::steady_clock::now());
 }
 
-SteadyTime EndpointClient::NoteWritten(const EndpointConnection& connection) {
+SteadyTime EndpointClient::RecordWritten(const EndpointConnection& connection) {
   const SteadyTime now = std::chrono::steady_clock::now();
   const std::lock_guard lock(mutex_);
   connections_.OnCallWritten(connection, now);
@@ -295,9 +295,10 @@
 
 // To be called before the connection is returned or closed, and after connection.calls was
 // incremented for this call.
-SharedAnswerCertainty EndpointClient::NoteEnd(const EndpointConnection& connection,
-                                              SteadyTime written_at, UnsettledAnswers::CallEnd end,
-                                              const HttpReader& reader) {
+SharedAnswerCertainty EndpointClient::RecordEnd(const EndpointConnection& connection,
+                                                SteadyTime written_at,
+                                                UnsettledAnswers::CallEnd end,
+                                                const HttpReader& reader) {
   const SteadyTime now = std::chrono::steady_clock::now();
   const std::lock_guard lock(mutex_);
   connections_.OnCallEnded(connection, written_at, end, now);
@@ -308,7 +309,7 @@
   }
   if (reader.has_surplus()) {
     observe::Count("unasked_answers_total", {"side", "endpoint"});
-    connections_.OnUnaskedInput(connection.endpoint, now);
+    connections_.OnUnsolicitedInput(connection.endpoint, now);
   }
   return certainty;
 }
--- a/src/net/endpoint_client.hpp
+++ b/src/net/endpoint_client.hpp
@@ -66,10 +66,11 @@
   void ReturnConnection(EndpointConnection connection);
   void DiscardConnection(EndpointConnection connection);
   void CloseConnection(EndpointConnection connection, CloseReason reason);
-  SteadyTime NoteWritten(const EndpointConnection& connection);
-  [[nodiscard]] SharedAnswerCertainty NoteEnd(const EndpointConnection& connection,
-                                              SteadyTime written_at, UnsettledAnswers::CallEnd end,
-                                              const HttpReader& reader);
+  SteadyTime RecordWritten(const EndpointConnection& connection);
+  [[nodiscard]] SharedAnswerCertainty RecordEnd(const EndpointConnection& connection,
+                                                SteadyTime written_at,
+                                                UnsettledAnswers::CallEnd end,
+                                                const HttpReader& reader);
 
   const Options options_;
   BufferPool& buffers_;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -96,13 +96,13 @@
   const bool connected = Connect(socket_, connected_to_, timeouts_.connect);
   if (connected && early_response_ == EarlyResponse::kRefused) socket_.RecordSegmentTimes();
   // The client may have been interrupted before there was a connection to shut down.
-  if (connected && IsWanted()) return true;
+  if (connected && MayUseConnection()) return true;
   Close(CloseReason::kConnectFailed);
   return false;
 }
 
 // True if the open connection may be used.
-bool HttpClient::IsWanted() const {
+bool HttpClient::MayUseConnection() const {
   const std::lock_guard lock(mutex_);
   return !stopped_ && !interrupted_ && connected_to_ == address_;
 }
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -74,7 +74,7 @@
 
  private:
   bool EnsureConnected();
-  [[nodiscard]] bool IsWanted() const;
+  [[nodiscard]] bool MayUseConnection() const;
   [[nodiscard]] bool IsEarlyResponse();
   bool ReadResponse(HttpReader& reader, const OnBytes& on_bytes, const GiveUpAt& give_up_at);
   void Close(CloseReason reason);
--- a/src/net/notification_client.cpp
+++ b/src/net/notification_client.cpp
@@ -32,7 +32,7 @@
       connections_(max_posts),
       threads_(kLogSide,
                {.min_threads = std::min(kMinThreads, max_posts), .max_threads = max_posts},
-               [this](const Post& post) { Carry(post); }) {
+               [this](const Post& post) { PerformPost(post); }) {
   const HttpClient::Timeouts timeouts{.connect = kConnectTimeout, .silence = kAnswerTimeout};
   const std::lock_guard lock(mutex_);
   for (Connection& connection : connections_) {
@@ -68,7 +68,7 @@
   for (Connection& connection : connections_) connection.client->SetAddress(address);
 }
 
-void NotificationClient::Carry(const Post& post) {
+void NotificationClient::PerformPost(const Post& post) {
   int status = 0;
   if (Connection* connection = TakeConnection(post)) {
     status = Exchange(*connection->client, post.body);
--- a/src/net/notification_client.hpp
+++ b/src/net/notification_client.hpp
@@ -67,7 +67,7 @@
     std::uint64_t post = 0;  // the post in progress on it; 0 if none
   };
 
-  void Carry(const Post& post);
+  void PerformPost(const Post& post);
   // Returns null if the post was abandoned before it began.
   [[nodiscard]] Connection* TakeConnection(const Post& post);
   [[nodiscard]] Connection* TakeIdle(Reuse reuse);
--- a/src/net/segment_times.cpp
+++ b/src/net/segment_times.cpp
@@ -13,9 +13,9 @@
 
 using std::chrono::nanoseconds;
 
-constexpr int kWantedTimes = SOF_TIMESTAMPING_TX_SOFTWARE | SOF_TIMESTAMPING_RX_SOFTWARE |
-                             SOF_TIMESTAMPING_SOFTWARE | SOF_TIMESTAMPING_OPT_ID |
-                             SOF_TIMESTAMPING_OPT_TSONLY;
+constexpr int kTimestampFlags = SOF_TIMESTAMPING_TX_SOFTWARE | SOF_TIMESTAMPING_RX_SOFTWARE |
+                                SOF_TIMESTAMPING_SOFTWARE | SOF_TIMESTAMPING_OPT_ID |
+                                SOF_TIMESTAMPING_OPT_TSONLY;
 // Maximum deviation between two readings of the offset of the clocks; a larger one is a step of the
 // wall clock.
 constexpr std::chrono::microseconds kMaxClockError{50};
@@ -85,7 +85,7 @@
 }  // namespace
 
 void SegmentTimes::Enable(int fd) {
-  const int wanted = kWantedTimes;
+  const int wanted = kTimestampFlags;
   enabled_ = setsockopt(fd, SOL_SOCKET, SO_TIMESTAMPING, &wanted, sizeof wanted) == 0;
 }
 
--- a/src/net/unsettled_answers.cpp
+++ b/src/net/unsettled_answers.cpp
@@ -7,14 +7,14 @@
 void UnsettledAnswers::OnCallEnded(EndpointId endpoint, SteadyTime written_at, CallEnd end,
                                    SteadyTime now) {
   EndpointCalls& calls = endpoints_[endpoint];
-  const auto out = calls.calls_out.find(written_at);
-  if (out != calls.calls_out.end()) calls.calls_out.erase(out);
+  const auto call = calls.calls_in_flight.find(written_at);
+  if (call != calls.calls_in_flight.end()) calls.calls_in_flight.erase(call);
   if (end == CallEnd::kAnswered) {
     calls.last_answered_call = std::max(calls.last_answered_call, written_at);
   }
   if (end != CallEnd::kSilent || now - written_at < kSettleTime) return;
   std::erase_if(answers_, [&](const Answer& answer) {
-    if (answer.endpoint != endpoint || answer.came_at > written_at) return false;
+    if (answer.endpoint != endpoint || answer.received_at > written_at) return false;
     if (HasAnsweredSince(calls, answer)) return false;
     answer.certainty->store(AnswerCertainty::kDoubtful);
     return true;
@@ -25,25 +25,25 @@
                                             SteadyTime now) {
   auto certainty = std::make_shared<std::atomic<AnswerCertainty>>(AnswerCertainty::kUnsettled);
   answers_.push_back(
-      {.connection = connection, .endpoint = endpoint, .came_at = now, .certainty = certainty});
+      {.connection = connection, .endpoint = endpoint, .received_at = now, .certainty = certainty});
   return certainty;
 }
 
-void UnsettledAnswers::OnRest(ConnectionId connection, SteadyTime now) {
+void UnsettledAnswers::OnIdle(ConnectionId connection, SteadyTime now) {
   for (Answer& answer : answers_) {
-    if (answer.connection == connection) answer.rests_since = now;
+    if (answer.connection == connection) answer.idle_since = now;
   }
 }
 
 void UnsettledAnswers::OnReuse(ConnectionId connection, SteadyTime now) {
   for (Answer& answer : answers_) {
     if (answer.connection != connection) continue;
-    answer.NoteRest(now);
-    answer.rests_since.reset();
+    answer.CheckSettleTime(now);
+    answer.idle_since.reset();
   }
 }
 
-void UnsettledAnswers::OnUnaskedInput(EndpointId endpoint) {
+void UnsettledAnswers::OnUnsolicitedInput(EndpointId endpoint) {
   std::erase_if(answers_, [&](const Answer& answer) {
     if (answer.endpoint != endpoint) return false;
     answer.certainty->store(AnswerCertainty::kDoubtful);
@@ -53,13 +53,13 @@
 
 void UnsettledAnswers::Settle(SteadyTime now) {
   std::erase_if(answers_, [&](Answer& answer) {
-    answer.NoteRest(now);
-    if (!answer.has_rested || AwaitsLaterCall(answer)) return false;
+    answer.CheckSettleTime(now);
+    if (!answer.settle_time_passed || AwaitsLaterCall(answer)) return false;
     answer.certainty->store(AnswerCertainty::kCertain);
     return true;
   });
   std::erase_if(endpoints_, [&](const auto& entry) {
-    return entry.second.calls_out.empty() &&
+    return entry.second.calls_in_flight.empty() &&
            std::none_of(answers_.begin(), answers_.end(),
                         [&](const Answer& answer) { return answer.endpoint == entry.first; });
   });
@@ -73,19 +73,19 @@
   if (found == endpoints_.end()) return false;
   const EndpointCalls& calls = found->second;
   return !HasAnsweredSince(calls, answer) &&
-         calls.calls_out.lower_bound(answer.came_at) != calls.calls_out.end();
+         calls.calls_in_flight.lower_bound(answer.received_at) != calls.calls_in_flight.end();
 }
 
-bool UnsettledAnswers::IsUnrested(ConnectionId connection) const {
+bool UnsettledAnswers::AwaitsSettleTime(ConnectionId connection) const {
   return std::any_of(answers_.begin(), answers_.end(), [&](const Answer& answer) {
-    return answer.connection == connection && !answer.has_rested;
+    return answer.connection == connection && !answer.settle_time_passed;
   });
 }
 
-bool UnsettledAnswers::NeedsRest(ConnectionId connection, SteadyTime now) const {
+bool UnsettledAnswers::MustSettleBeforeReuse(ConnectionId connection, SteadyTime now) const {
   return std::any_of(answers_.begin(), answers_.end(), [&](const Answer& answer) {
-    return answer.connection == connection && !answer.has_rested &&
-           now - answer.came_at >= kMaxUnsettledTime;
+    return answer.connection == connection && !answer.settle_time_passed &&
+           now - answer.received_at >= kMaxUnsettledTime;
   });
 }
 
--- a/src/net/unsettled_answers.hpp
+++ b/src/net/unsettled_answers.hpp
@@ -47,7 +47,7 @@
   // ---- calls, on any connection ----
 
   void OnCallWritten(EndpointId endpoint, SteadyTime now) {
-    endpoints_[endpoint].calls_out.insert(now);
+    endpoints_[endpoint].calls_in_flight.insert(now);
   }
   enum class CallEnd { kAnswered, kSilent, kOther };
   // The call that was written at `written_at` has ended. kSilent: it was given up without any byte
@@ -61,42 +61,42 @@
   [[nodiscard]] SharedAnswerCertainty Add(ConnectionId connection, EndpointId endpoint,
                                           SteadyTime now);
   // The connection was in use, and has become idle or was closed.
-  void OnRest(ConnectionId connection, SteadyTime now);
+  void OnIdle(ConnectionId connection, SteadyTime now);
   // The connection is used again; no input was seen on it while it was idle.
   void OnReuse(ConnectionId connection, SteadyTime now);
   // Unsolicited input was received from this endpoint: its unsettled answers on all connections are
   // doubtful.
-  void OnUnaskedInput(EndpointId endpoint);
+  void OnUnsolicitedInput(EndpointId endpoint);
   // Settles the answers that can be settled by now. To be called after the connections for which
-  // IsUnrested is true were checked for input.
+  // AwaitsSettleTime is true were checked for input.
   void Settle(SteadyTime now);
 
   // True if the connection has an unsettled answer after which it has not been idle for
   // kSettleTime.
-  [[nodiscard]] bool IsUnrested(ConnectionId connection) const;
+  [[nodiscard]] bool AwaitsSettleTime(ConnectionId connection) const;
   // True if the connection must be idle for kSettleTime before it is used again.
-  [[nodiscard]] bool NeedsRest(ConnectionId connection, SteadyTime now) const;
+  [[nodiscard]] bool MustSettleBeforeReuse(ConnectionId connection, SteadyTime now) const;
 
  private:
   struct Answer {
     ConnectionId connection = 0;
     EndpointId endpoint = 0;
-    SteadyTime came_at{};
-    std::optional<SteadyTime> rests_since{};  // no value while the connection is in use
-    bool has_rested = false;
+    SteadyTime received_at{};
+    std::optional<SteadyTime> idle_since{};  // no value while the connection is in use
+    bool settle_time_passed = false;
     SharedAnswerCertainty certainty{};
 
-    void NoteRest(SteadyTime now) {
-      has_rested = has_rested || (rests_since && now - *rests_since >= kSettleTime);
+    void CheckSettleTime(SteadyTime now) {
+      settle_time_passed = settle_time_passed || (idle_since && now - *idle_since >= kSettleTime);
     }
   };
   struct EndpointCalls {
-    std::multiset<SteadyTime> calls_out{};  // by the time at which they were written
-    SteadyTime last_answered_call{};        // the time at which it was written
+    std::multiset<SteadyTime> calls_in_flight{};  // by the time at which they were written
+    SteadyTime last_answered_call{};              // the time at which it was written
   };
 
   [[nodiscard]] static bool HasAnsweredSince(const EndpointCalls& calls, const Answer& answer) {
-    return calls.last_answered_call >= answer.came_at + kSettleTime;
+    return calls.last_answered_call >= answer.received_at + kSettleTime;
   }
   [[nodiscard]] bool AwaitsLaterCall(const Answer& answer) const;
 
--- a/src/protocol/delivery_request.cpp
+++ b/src/protocol/delivery_request.cpp
@@ -7,22 +7,23 @@
 namespace brassfront {
 namespace {
 
-constexpr std::size_t kMaxName = 128;
+constexpr std::size_t kMaxNameBytes = 128;
 constexpr std::uint64_t kMaxTimeLeft = 24ULL * 3600 * 1000;  // milliseconds; one day
 
 // Ids and keys are written into HTTP headers: the check prevents a line break from injecting a
 // header.
-std::string Name(std::string_view text, const char* what) {
-  const bool fit = !text.empty() && text.size() <= kMaxName &&
-                   std::all_of(text.begin(), text.end(), [](char c) { return c > 32 && c < 127; });
-  if (!fit) throw InvalidDeliveryRequest(std::string("bad ") + what);
+std::string ParseName(std::string_view text, const char* what) {
+  const bool valid =
+      !text.empty() && text.size() <= kMaxNameBytes &&
+      std::all_of(text.begin(), text.end(), [](char c) { return c > 32 && c < 127; });
+  if (!valid) throw InvalidDeliveryRequest(std::string("bad ") + what);
   return std::string(text);
 }
 
-std::uint64_t Whole(std::string_view text, const char* what, std::uint64_t most) {
+std::uint64_t ParseInteger(std::string_view text, const char* what, std::uint64_t max) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (text.empty() || error != std::errc() || end != text.data() + text.size() || value > most) {
+  if (text.empty() || error != std::errc() || end != text.data() + text.size() || value > max) {
     throw InvalidDeliveryRequest(std::string("bad ") + what);
   }
   return value;
@@ -33,7 +34,7 @@
 DeliveryRequest ParseDeliveryRequest(std::vector<std::string>&& words) {
   if (words.size() != 5) throw InvalidDeliveryRequest("wrong number of arguments for MSG.PUT");
   DeliveryRequest request;
-  request.id = Name(words[2], "id");
+  request.id = ParseName(words[2], "id");
   bool has_time = false, has_destination = false;
   for (std::string_view rest = words[3]; !rest.empty();) {
     const std::string_view field = rest.substr(0, rest.find(','));
@@ -42,17 +43,17 @@
     if (equals == std::string_view::npos) throw InvalidDeliveryRequest("a field without a value");
     const std::string_view name = field.substr(0, equals), value = field.substr(equals + 1);
     if (name == "c") {
-      request.class_name = Name(value, "class");
+      request.class_name = ParseName(value, "class");
     } else if (name == "t") {
-      request.tenant_name = Name(value, "tenant");
+      request.tenant_name = ParseName(value, "tenant");
     } else if (name == "d") {
-      request.time_left = std::chrono::milliseconds(Whole(value, "time left", kMaxTimeLeft));
+      request.time_left = std::chrono::milliseconds(ParseInteger(value, "time left", kMaxTimeLeft));
       has_time = true;
     } else if (name == "dest") {
-      request.destination = Whole(value, "destination", UINT32_MAX);
+      request.destination = ParseInteger(value, "destination", UINT32_MAX);
       has_destination = true;
     } else if (name == "k") {
-      request.key = Name(value, "key");
+      request.key = ParseName(value, "key");
     } else if (name != "r" && name != "again") {  // repeat markers, which are not needed here
       throw InvalidDeliveryRequest("unknown field");
     }
--- a/src/protocol/discovery.cpp
+++ b/src/protocol/discovery.cpp
@@ -45,17 +45,17 @@
   return list;
 }
 
-std::vector<std::string> ObjectCutter::Feed(std::string_view bytes) {
+std::vector<std::string> JsonObjectSplitter::Feed(std::string_view bytes) {
   std::vector<std::string> pieces;
   for (const char byte : bytes) {
     if (broken_) break;
-    if (Take(byte)) pieces.push_back(std::exchange(piece_, {}));
+    if (ProcessByte(byte)) pieces.push_back(std::exchange(piece_, {}));
     broken_ = piece_.size() > max_bytes_;
   }
   return pieces;
 }
 
-bool ObjectCutter::Take(char byte) {
+bool JsonObjectSplitter::ProcessByte(char byte) {
   const bool is_space = byte == ' ' || byte == '\t' || byte == '\r';
   if (depth_ == 0 && byte == '\n') {
     // The line break that follows an object does not count as an empty line.
--- a/src/protocol/discovery.hpp
+++ b/src/protocol/discovery.hpp
@@ -41,11 +41,11 @@
 
 // Splits a stream of JSON objects, in any layout and with empty lines between them, into the text
 // of each object. The stream may be fed in chunks of any size.
-class ObjectCutter {
+class JsonObjectSplitter {
  public:
   static constexpr std::size_t kMaxObjectBytes = std::size_t{4} << 20;
 
-  explicit ObjectCutter(std::size_t max_bytes = kMaxObjectBytes) : max_bytes_(max_bytes) {}
+  explicit JsonObjectSplitter(std::size_t max_bytes = kMaxObjectBytes) : max_bytes_(max_bytes) {}
 
   // Returns the pieces that these bytes complete, in order: the text of each object, an empty text
   // for each empty line between objects, and each other line that does not begin an object,
@@ -58,7 +58,7 @@
 
  private:
   // Processes one byte. Returns true if it completes the piece.
-  bool Take(char byte);
+  bool ProcessByte(char byte);
 
   const std::size_t max_bytes_;
   std::string piece_;
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -7,9 +7,9 @@
 namespace brassfront {
 namespace {
 
-constexpr std::size_t kMaxHead = std::size_t{16} * 1024;
+constexpr std::size_t kMaxHeadBytes = std::size_t{16} * 1024;
 
-std::string Lower(std::string_view text) {
+std::string ToLower(std::string_view text) {
   std::string out(text);
   for (char& c : out) c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
   return out;
@@ -26,7 +26,7 @@
   return !text.empty() && error == std::errc() && end == text.data() + text.size();
 }
 
-std::string Head(std::string_view method, std::string_view path, std::string_view host) {
+std::string RequestHead(std::string_view method, std::string_view path, std::string_view host) {
   std::string out;
   out.append(method).append(" ").append(path).append(" HTTP/1.1\r\nHost: ").append(host);
   return out += "\r\n";
@@ -42,15 +42,15 @@
       return;
     }
     if (state_ == State::kBody || state_ == State::kUntilEnd || state_ == State::kChunk) {
-      TakeBytes(bytes);
+      ConsumeBytes(bytes);
     } else {
       line_ += bytes.front();
       bytes.remove_prefix(1);
-      if (line_.size() > kMaxHead || ++head_bytes_ > kMaxHead) {
+      if (line_.size() > kMaxHeadBytes || ++head_bytes_ > kMaxHeadBytes) {
         state_ = State::kBroken;
       } else if (line_.ends_with("\r\n")) {
         line_.resize(line_.size() - 2);
-        TakeLine();
+        ProcessLine();
         line_.clear();
       }
     }
@@ -64,8 +64,8 @@
   }
 }
 
-void HttpReader::TakeBytes(std::string_view& bytes) {
-  const std::string_view part = state_ == State::kUntilEnd ? bytes : bytes.substr(0, bytes_due_);
+void HttpReader::ConsumeBytes(std::string_view& bytes) {
+  const std::string_view part = state_ == State::kUntilEnd ? bytes : bytes.substr(0, bytes_left_);
   bytes.remove_prefix(part.size());
   if (body_.size() + part.size() > max_body_) {
     state_ = State::kBroken;
@@ -73,23 +73,23 @@
   }
   body_.append(part);
   if (state_ == State::kUntilEnd) return;
-  bytes_due_ -= part.size();
-  if (bytes_due_ == 0) state_ = state_ == State::kBody ? State::kDone : State::kChunkEnd;
+  bytes_left_ -= part.size();
+  if (bytes_left_ == 0) state_ = state_ == State::kBody ? State::kDone : State::kChunkEnd;
 }
 
-void HttpReader::TakeLine() {
+void HttpReader::ProcessLine() {
   switch (state_) {
     case State::kStatus:
-      return TakeStatus();
+      return ParseStatus();
     case State::kHeaders:
-      return line_.empty() ? EndHead() : TakeHeader();
+      return line_.empty() ? FinishHead() : ParseHeader();
     case State::kChunkSize: {
       head_bytes_ = 0;  // so that the limit counts per line of a stream that stays open
       const std::string_view size = Trim(std::string_view(line_).substr(0, line_.find(';')));
-      if (!ParseSize(size, 16, bytes_due_) || bytes_due_ > max_body_) {
+      if (!ParseSize(size, 16, bytes_left_) || bytes_left_ > max_body_) {
         state_ = State::kBroken;
       } else {
-        state_ = bytes_due_ > 0 ? State::kChunk : State::kTrailer;
+        state_ = bytes_left_ > 0 ? State::kChunk : State::kTrailer;
       }
       return;
     }
@@ -101,13 +101,13 @@
   }
 }
 
-void HttpReader::TakeStatus() {
+void HttpReader::ParseStatus() {
   const std::string_view line = line_;
   std::size_t status = 0;
-  const bool fit = line.size() >= 12 && line.starts_with("HTTP/1.") && line[8] == ' ' &&
-                   (line.size() == 12 || line[12] == ' ') &&
-                   ParseSize(line.substr(9, 3), 10, status) && status >= 100;
-  if (!fit) {
+  const bool valid = line.size() >= 12 && line.starts_with("HTTP/1.") && line[8] == ' ' &&
+                     (line.size() == 12 || line[12] == ' ') &&
+                     ParseSize(line.substr(9, 3), 10, status) && status >= 100;
+  if (!valid) {
     state_ = State::kBroken;
     return;
   }
@@ -116,36 +116,36 @@
   state_ = State::kHeaders;
 }
 
-void HttpReader::TakeHeader() {
+void HttpReader::ParseHeader() {
   const std::size_t colon = line_.find(':');
   if (colon == std::string::npos || colon == 0) {
     state_ = State::kBroken;
     return;
   }
   const std::string_view line = line_;
-  headers_.emplace_back(Lower(line.substr(0, colon)), Trim(line.substr(colon + 1)));
+  headers_.emplace_back(ToLower(line.substr(0, colon)), Trim(line.substr(colon + 1)));
 }
 
-void HttpReader::EndHead() {
+void HttpReader::FinishHead() {
   if (status_ < 200) {  // an interim response; the final one follows
     status_ = 0;
     headers_.clear();
     state_ = State::kStatus;
     return;
   }
-  if (Lower(Header("connection")).find("close") != std::string::npos) keep_alive_ = false;
+  if (ToLower(Header("connection")).find("close") != std::string::npos) keep_alive_ = false;
   const std::string_view length = Header("content-length");
   if (status_ == 204 || status_ == 304) {
     state_ = State::kDone;
-  } else if (Lower(Header("transfer-encoding")) == "chunked") {
+  } else if (ToLower(Header("transfer-encoding")) == "chunked") {
     state_ = State::kChunkSize;
   } else if (length.empty()) {
     keep_alive_ = false;
     state_ = State::kUntilEnd;
-  } else if (!ParseSize(length, 10, bytes_due_) || bytes_due_ > max_body_) {
+  } else if (!ParseSize(length, 10, bytes_left_) || bytes_left_ > max_body_) {
     state_ = State::kBroken;
   } else {
-    state_ = bytes_due_ > 0 ? State::kBody : State::kDone;
+    state_ = bytes_left_ > 0 ? State::kBody : State::kDone;
   }
 }
 
@@ -157,7 +157,7 @@
 
 std::string HttpPost(std::string_view path, std::string_view host, const HttpHeaders& headers,
                      std::string_view body) {
-  std::string out = Head("POST", path, host);
+  std::string out = RequestHead("POST", path, host);
   for (const auto& [name, value] : headers) {
     out.append(name).append(": ").append(value).append("\r\n");
   }
@@ -166,7 +166,7 @@
 }
 
 std::string HttpGet(std::string_view path, std::string_view host) {
-  return Head("GET", path, host) + "\r\n";
+  return RequestHead("GET", path, host) + "\r\n";
 }
 
 }  // namespace brassfront
--- a/src/protocol/http.hpp
+++ b/src/protocol/http.hpp
@@ -55,11 +55,11 @@
     kBroken
   };
 
-  void TakeLine();
-  void TakeStatus();
-  void TakeHeader();
-  void EndHead();
-  void TakeBytes(std::string_view& bytes);
+  void ProcessLine();
+  void ParseStatus();
+  void ParseHeader();
+  void FinishHead();
+  void ConsumeBytes(std::string_view& bytes);
 
   const std::size_t max_body_;
   State state_ = State::kStatus;
@@ -69,7 +69,7 @@
   bool keep_alive_ = true;
   bool has_surplus_ = false;
   std::vector<std::pair<std::string, std::string>> headers_;
-  std::size_t bytes_due_ = 0;
+  std::size_t bytes_left_ = 0;
   std::string body_;
 };
 
--- a/src/protocol/http_request.cpp
+++ b/src/protocol/http_request.cpp
@@ -74,8 +74,8 @@
     if (done_) return;
     head_done_ = true;
   }
-  body_bytes_due_ -= std::min(body_bytes_due_, bytes.size());
-  done_ = body_bytes_due_ == 0;
+  body_bytes_left_ -= std::min(body_bytes_left_, bytes.size());
+  done_ = body_bytes_left_ == 0;
 }
 
 void HttpRequestReader::ReadHead(std::string_view head) {
@@ -86,7 +86,7 @@
     head.remove_prefix(kLineEnd.size());
     const std::size_t end = std::min(head.find(kLineEnd), head.size());
     if (!ReadHeader(head.substr(0, end))) return Fail(kBadRequest);
-    if (body_bytes_due_ > kMaxBodyBytes) return Fail(kBodyTooLarge);
+    if (body_bytes_left_ > kMaxBodyBytes) return Fail(kBodyTooLarge);
     head.remove_prefix(end);
   }
 }
@@ -116,7 +116,7 @@
   if (EqualsIgnoringCase(line.substr(0, colon), "transfer-encoding")) return false;
   if (!EqualsIgnoringCase(line.substr(0, colon), "content-length")) return true;
   const char* const end = value.data() + value.size();
-  const auto [stop, error] = std::from_chars(value.data(), end, body_bytes_due_);
+  const auto [stop, error] = std::from_chars(value.data(), end, body_bytes_left_);
   return !value.empty() && error == std::errc() && stop == end;
 }
 
--- a/src/protocol/http_request.hpp
+++ b/src/protocol/http_request.hpp
@@ -39,7 +39,7 @@
 
   std::string head_;
   bool head_done_ = false;
-  std::size_t body_bytes_due_ = 0;
+  std::size_t body_bytes_left_ = 0;
   bool done_ = false;
   std::optional<int> error_;
   HttpRequest request_;
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -14,129 +14,131 @@
     if (text.size() > bounds.bytes) Fail("too long");
   }
 
-  Value Whole() {
-    Value value = Any();
-    Space();
-    if (at_ != text_.size()) Fail("more than one value");
+  Value ParseDocument() {
+    Value value = ParseValue();
+    SkipSpace();
+    if (position_ != text_.size()) Fail("more than one value");
     return value;
   }
 
  private:
   [[noreturn]] void Fail(const std::string& what) const {
-    throw Error("JSON at byte " + std::to_string(at_) + ": " + what);
+    throw Error("JSON at byte " + std::to_string(position_) + ": " + what);
   }
 
-  [[nodiscard]] char Peek() const { return at_ < text_.size() ? text_[at_] : '\0'; }
+  [[nodiscard]] char Peek() const { return position_ < text_.size() ? text_[position_] : '\0'; }
 
-  void Space() {
-    while (at_ < text_.size() && std::string_view(" \t\r\n").find(text_[at_]) < 4) ++at_;
+  void SkipSpace() {
+    while (position_ < text_.size() && std::string_view(" \t\r\n").find(text_[position_]) < 4)
+      ++position_;
   }
 
   bool Skip(std::string_view word) {
-    if (text_.substr(at_, word.size()) != word) return false;
-    at_ += word.size();
+    if (text_.substr(position_, word.size()) != word) return false;
+    position_ += word.size();
     return true;
   }
 
   void Expect(char c) {
-    Space();
+    SkipSpace();
     if (Peek() != c) Fail(std::string("expected '") + c + "'");
-    ++at_;
+    ++position_;
   }
 
-  Value Any() {
-    Space();
-    if (Peek() == '{') return Nested(&Parser::AnObject);
-    if (Peek() == '[') return Nested(&Parser::AnArray);
-    if (Peek() == '"') return Value(AString());
+  Value ParseValue() {
+    SkipSpace();
+    if (Peek() == '{') return ParseNested(&Parser::ParseObject);
+    if (Peek() == '[') return ParseNested(&Parser::ParseArray);
+    if (Peek() == '"') return Value(ParseString());
     if (Skip("true")) return Value(true);
     if (Skip("false")) return Value(false);
     if (Skip("null")) return Value();
-    return ANumber();
+    return ParseNumber();
   }
 
   // Limits the nesting depth, as a deeply nested text could overflow a small stack.
-  Value Nested(Value (Parser::*read)()) {
+  Value ParseNested(Value (Parser::*read)()) {
     if (depth_left_ == 0) Fail("nested too deep");
     --depth_left_;
-    ++at_;
+    ++position_;
     Value value = (this->*read)();
     ++depth_left_;
     return value;
   }
 
   // Called after an element. True if another element follows, false at the closing bracket.
-  bool More(char close) {
-    Space();
+  bool ConsumeSeparator(char close) {
+    SkipSpace();
     if (Peek() == close) {
-      ++at_;
+      ++position_;
       return false;
     }
     Expect(',');
     return true;
   }
 
-  bool Empty(char close) {
-    Space();
+  bool ConsumeClose(char close) {
+    SkipSpace();
     if (Peek() != close) return false;
-    ++at_;
+    ++position_;
     return true;
   }
 
-  Value AnObject() {
+  Value ParseObject() {
     Value::Object members;
-    if (Empty('}')) return Value(std::move(members));
+    if (ConsumeClose('}')) return Value(std::move(members));
     do {
-      Space();
-      std::string name = AString();
+      SkipSpace();
+      std::string name = ParseString();
       Expect(':');
-      members.emplace_back(std::move(name), Any());
-    } while (More('}'));
+      members.emplace_back(std::move(name), ParseValue());
+    } while (ConsumeSeparator('}'));
     return Value(std::move(members));
   }
 
-  Value AnArray() {
+  Value ParseArray() {
     Value::Array items;
-    if (Empty(']')) return Value(std::move(items));
+    if (ConsumeClose(']')) return Value(std::move(items));
     do {
-      items.push_back(Any());
-    } while (More(']'));
+      items.push_back(ParseValue());
+    } while (ConsumeSeparator(']'));
     return Value(std::move(items));
   }
 
-  bool Digits() {
-    const std::size_t from = at_;
-    while (Peek() >= '0' && Peek() <= '9') ++at_;
-    return at_ > from;
+  bool SkipDigits() {
+    const std::size_t from = position_;
+    while (Peek() >= '0' && Peek() <= '9') ++position_;
+    return position_ > from;
   }
 
-  Value ANumber() {
-    const std::size_t from = at_;
+  Value ParseNumber() {
+    const std::size_t from = position_;
     Skip("-");
-    if (!Skip("0") && !Digits()) Fail("expected a value");
-    if (Skip(".") && !Digits()) Fail("expected digits");
+    if (!Skip("0") && !SkipDigits()) Fail("expected a value");
+    if (Skip(".") && !SkipDigits()) Fail("expected digits");
     if (Peek() == 'e' || Peek() == 'E') {
-      ++at_;
+      ++position_;
       if (!Skip("-")) Skip("+");
-      if (!Digits()) Fail("expected digits");
+      if (!SkipDigits()) Fail("expected digits");
     }
     double number = 0;
-    const auto [end, error] = std::from_chars(text_.data() + from, text_.data() + at_, number);
-    if (error != std::errc() || end != text_.data() + at_) Fail("a number out of range");
+    const auto [end, error] =
+        std::from_chars(text_.data() + from, text_.data() + position_, number);
+    if (error != std::errc() || end != text_.data() + position_) Fail("a number out of range");
     return Value(number);
   }
 
-  unsigned Hex4() {
+  unsigned ParseHex4() {
     unsigned code = 0;
-    const std::string_view digits = text_.substr(at_, 4);
+    const std::string_view digits = text_.substr(position_, 4);
     const auto [end, error] =
         std::from_chars(digits.data(), digits.data() + digits.size(), code, 16);
     if (error != std::errc() || digits.size() < 4 || end != digits.data() + 4) Fail("bad escape");
-    at_ += 4;
+    position_ += 4;
     return code;
   }
 
-  static void PutUtf8(std::string& out, unsigned code) {
+  static void AppendUtf8(std::string& out, unsigned code) {
     if (code < 0x80) {
       out += static_cast<char>(code);
       return;
@@ -149,40 +151,40 @@
     }
   }
 
-  void Escape(std::string& out) {
+  void ParseEscape(std::string& out) {
     static constexpr std::string_view kNames = "\"\\/bfnrt";
     static constexpr std::string_view kChars = "\"\\/\b\f\n\r\t";
     const char c = Peek();
-    ++at_;
+    ++position_;
     if (c != 'u') {
       const std::size_t which = c == '\0' ? std::string_view::npos : kNames.find(c);
       if (which == std::string_view::npos) Fail("bad escape");
       out += kChars[which];
       return;
     }
-    unsigned code = Hex4();
+    unsigned code = ParseHex4();
     if (code >= 0xD800 && code < 0xDC00) {
       if (!Skip("\\u")) Fail("half a surrogate pair");
-      const unsigned low = Hex4();
+      const unsigned low = ParseHex4();
       if (low < 0xDC00 || low > 0xDFFF) Fail("half a surrogate pair");
       code = 0x10000 + ((code - 0xD800) << 10) + (low - 0xDC00);
     } else if (code >= 0xDC00 && code < 0xE000) {
       Fail("half a surrogate pair");
     }
-    PutUtf8(out, code);
+    AppendUtf8(out, code);
   }
 
-  std::string AString() {
+  std::string ParseString() {
     if (Peek() != '"') Fail("expected a string");
-    ++at_;
+    ++position_;
     std::string out;
     while (true) {
-      if (at_ >= text_.size()) Fail("a string without end");
-      const char c = text_[at_++];
+      if (position_ >= text_.size()) Fail("a string without end");
+      const char c = text_[position_++];
       if (c == '"') return out;
       if (static_cast<unsigned char>(c) < 0x20) Fail("a control character in a string");
       if (c == '\\') {
-        Escape(out);
+        ParseEscape(out);
       } else {
         out += c;
       }
@@ -190,15 +192,15 @@
   }
 
   std::string_view text_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
   std::size_t depth_left_;
 };
 
 template <typename T>
 const T& Get(const Value::Data& data, const char* what) {
-  const T* held = std::get_if<T>(&data);
-  if (held == nullptr) throw Error(std::string("expected ") + what);
-  return *held;
+  const T* value = std::get_if<T>(&data);
+  if (value == nullptr) throw Error(std::string("expected ") + what);
+  return *value;
 }
 
 }  // namespace
@@ -231,7 +233,9 @@
   return static_cast<std::uint64_t>(number);
 }
 
-Value Parse(std::string_view text, const Bounds& bounds) { return Parser(text, bounds).Whole(); }
+Value Parse(std::string_view text, const Bounds& bounds) {
+  return Parser(text, bounds).ParseDocument();
+}
 
 std::string Quote(std::string_view text) {
   static constexpr std::string_view kHex = "0123456789abcdef";
--- a/src/protocol/resp.hpp
+++ b/src/protocol/resp.hpp
@@ -29,14 +29,14 @@
  private:
   enum class State { kArray, kBulk, kBody, kBodyEnd, kBroken };
 
-  void TakeLine();
-  void EndWord();
+  void ProcessLine();
+  void FinishWord();
 
   State state_ = State::kArray;
   std::string line_;
-  std::size_t words_due_ = 0;
-  std::size_t bytes_due_ = 0;
-  bool passing_over_ = false;
+  std::size_t words_left_ = 0;
+  std::size_t bytes_left_ = 0;
+  bool skipping_word_ = false;
   std::size_t command_bytes_ = 0;  // of the words of this command that were kept
   RespCommand command_;
   std::deque<RespCommand> commands_;
--- a/tests/network/client_server_test.cpp
+++ b/tests/network/client_server_test.cpp
@@ -24,7 +24,7 @@
  public:
   SubmitResult Submit(DeliveryRequest request) override {
     received_at.push_back(*request.received_at);
-    if (meanwhile) meanwhile();
+    if (on_submit) on_submit();
     if (!accepts) return {};
     ++accepted;
     return {
@@ -34,7 +34,7 @@
   void OnClientDisconnected(std::uint64_t) override { ++disconnected; }
 
   bool accepts = false;
-  std::function<void()> meanwhile;  // called before each result is returned
+  std::function<void()> on_submit;  // called before each result is returned
   // Of all requests. Not thread-safe: one client may send at a time, and the test reads it only
   // after the replies were received.
   std::vector<SteadyTime> received_at;
@@ -48,10 +48,10 @@
     address = LocalAddress(listener);
     server.emplace(std::move(listener), limits, acceptor, buffers);
   }
-  Socket Client(std::string_view says = {}) {
+  Socket Client(std::string_view bytes = {}) {
     Socket socket = NewSocket();
     REQUIRE(Connect(socket, address, kNever));
-    socket.SendAll(says);
+    socket.SendAll(bytes);
     return socket;
   }
   // Waits for the number of idle connections: a client may read its reply before the worker has
@@ -60,13 +60,13 @@
     while (server->idle_connections() != connections) std::this_thread::yield();
   }
   // Returns everything received until the connection is closed.
-  static std::string ToTheEnd(Socket& socket) {
+  static std::string ReadToEnd(Socket& socket) {
     std::string got;
     char byte = 0;
     while (socket.Receive({&byte, 1}) == 1) got += byte;
     return got;
   }
-  static std::string Line(Socket& socket) {
+  static std::string ReadLine(Socket& socket) {
     std::string got;
     char byte = 0;
     while (!got.ends_with("\r\n") && socket.Receive({&byte, 1}) == 1) got += byte;
@@ -82,13 +82,13 @@
 TEST_CASE_FIXTURE(Fixture,
                   "a client without a complete command in time gets an error and is closed") {
   Start({.connections = 8, .command = std::chrono::milliseconds(50), .idle = kNever});
-  for (const std::string_view says : {"", "*1\r\n$4\r\nPI", "*", "*1\r\n$100\r\nabc"}) {
-    Socket client = Client(says);
-    CHECK(ToTheEnd(client).starts_with("-ERR "));
+  for (const std::string_view bytes : {"", "*1\r\n$4\r\nPI", "*", "*1\r\n$100\r\nabc"}) {
+    Socket client = Client(bytes);
+    CHECK(ReadToEnd(client).starts_with("-ERR "));
   }
   Socket later = Client(std::string(kPing) + "*1\r\n$4");  // later commands are limited too
-  CHECK(Line(later) == "+PONG\r\n");
-  CHECK(ToTheEnd(later).starts_with("-ERR "));
+  CHECK(ReadLine(later) == "+PONG\r\n");
+  CHECK(ReadToEnd(later).starts_with("-ERR "));
 }
 
 TEST_CASE_FIXTURE(Fixture,
@@ -99,7 +99,7 @@
   while (got.empty()) {  // one byte at a time, at intervals far below the limit
     client.SendAll("x");
     if (client.AwaitInput(std::chrono::steady_clock::now() + std::chrono::milliseconds(5))) {
-      got = Line(client);
+      got = ReadLine(client);
     }
   }
   CHECK(got.starts_with("-ERR "));
@@ -108,7 +108,7 @@
 TEST_CASE_FIXTURE(Fixture, "an idle connection is closed without a reply") {
   Start({.connections = 8, .command = kNever, .idle = std::chrono::milliseconds(50)});
   Socket client = Client(kPing);
-  CHECK(ToTheEnd(client) == "+PONG\r\n");
+  CHECK(ReadToEnd(client) == "+PONG\r\n");
 }
 
 TEST_CASE_FIXTURE(Fixture,
@@ -119,19 +119,19 @@
          .min_idle_before_first_message = std::chrono::milliseconds(0),
          .min_idle = std::chrono::milliseconds(0)});
   Socket used = Client(kPut);
-  CHECK(Line(used) == "-BUSY\r\n");  // the acceptor rejects it
+  CHECK(ReadLine(used) == "-BUSY\r\n");  // the acceptor rejects it
   Socket pinged = Client(kPing);
-  CHECK(Line(pinged) == "+PONG\r\n");
+  CHECK(ReadLine(pinged) == "+PONG\r\n");
   Socket silent = Client();
   AwaitIdle(3);
-  Socket newcomers[3];
-  for (Socket& newcomer : newcomers) {
-    newcomer = Client(kPut);
-    CHECK(Line(newcomer) == "-BUSY\r\n");
+  Socket new_clients[3];
+  for (Socket& new_client : new_clients) {
+    new_client = Client(kPut);
+    CHECK(ReadLine(new_client) == "-BUSY\r\n");
   }
-  CHECK(ToTheEnd(pinged).empty());
-  CHECK(ToTheEnd(silent).empty());
-  CHECK(ToTheEnd(used).empty());  // evicted last, for the third new connection
+  CHECK(ReadToEnd(pinged).empty());
+  CHECK(ReadToEnd(silent).empty());
+  CHECK(ReadToEnd(used).empty());  // evicted last, for the third new connection
 }
 
 TEST_CASE_FIXTURE(Fixture, "the longest idle connection is closed when too many are idle") {
@@ -144,10 +144,10 @@
   Socket clients[4];
   for (Socket& client : clients) {
     client = Client(kPut);
-    CHECK(Line(client) == "-BUSY\r\n");
+    CHECK(ReadLine(client) == "-BUSY\r\n");
     if (&client == &clients[0]) AwaitIdle(1);  // so that it is the longest idle one
   }
-  CHECK(ToTheEnd(clients[0]).empty());
+  CHECK(ReadToEnd(clients[0]).empty());
 }
 
 TEST_CASE_FIXTURE(Fixture,
@@ -158,32 +158,32 @@
          .min_idle_before_first_message = kNever,
          .min_idle = kNever});
   Socket first = Client(kPing), second = Client(kPing);
-  CHECK(Line(first) == "+PONG\r\n");
-  CHECK(Line(second) == "+PONG\r\n");
+  CHECK(ReadLine(first) == "+PONG\r\n");
+  CHECK(ReadLine(second) == "+PONG\r\n");
   Socket third = Client();
-  CHECK(ToTheEnd(third) == "-BUSY 1000\r\n");
+  CHECK(ReadToEnd(third) == "-BUSY 1000\r\n");
 }
 
 // A drain stops the reading of idle connections, and so does a new connection that needs their
 // place. A command that was received just before must still be read and answered.
 TEST_CASE("a command sent at the same time as a drain is answered, or was not executed") {
-  int crossed = 0;
+  int executed = 0;
   for (int round = 0; round < 1000; ++round) {
     Fixture fixture;
     fixture.acceptor.accepts = true;
     fixture.Start({.connections = 2, .command = kNever, .idle = kNever});
     Socket client = fixture.Client(kPing);
-    REQUIRE(Fixture::Line(client) == "+PONG\r\n");
+    REQUIRE(Fixture::ReadLine(client) == "+PONG\r\n");
     client.SendAll(kPut);
     fixture.server->Drain();  // usually before the poll loop has woken up
-    const std::string answer = Fixture::ToTheEnd(client);
+    const std::string answer = Fixture::ReadToEnd(client);
     fixture.server.reset();
     CHECK(fixture.acceptor.disconnected == 0);
     CHECK(fixture.acceptor.acknowledged == fixture.acceptor.accepted);
     CHECK(answer == (fixture.acceptor.accepted > 0 ? "+OK\r\n" : ""));
-    crossed += fixture.acceptor.accepted;
+    executed += fixture.acceptor.accepted;
   }
-  CHECK(crossed > 0);
+  CHECK(executed > 0);
 }
 
 TEST_CASE_FIXTURE(Fixture, "pipelined commands are answered in order") {
@@ -191,7 +191,7 @@
   std::string pipelined;
   for (int i = 0; i < 600; ++i) pipelined += kPing;
   Socket client = Client(pipelined);
-  for (int i = 0; i < 600; ++i) REQUIRE(Line(client) == "+PONG\r\n");
+  for (int i = 0; i < 600; ++i) REQUIRE(ReadLine(client) == "+PONG\r\n");
 }
 
 // Guards against extending the deadline of a message by the time for which its command waited for
@@ -199,9 +199,9 @@
 TEST_CASE_FIXTURE(Fixture,
                   "the time of pipelined commands counts from the moment when they were read") {
   Start({.connections = 4});
-  acceptor.meanwhile = [] { std::this_thread::sleep_for(std::chrono::milliseconds(1)); };
+  acceptor.on_submit = [] { std::this_thread::sleep_for(std::chrono::milliseconds(1)); };
   Socket client = Client(std::string(kPut) + std::string(kPut) + std::string(kPut));
-  for (int i = 0; i < 3; ++i) CHECK(Line(client).starts_with("-BUSY"));
+  for (int i = 0; i < 3; ++i) CHECK(ReadLine(client).starts_with("-BUSY"));
   REQUIRE(acceptor.received_at.size() == 3);
   CHECK(acceptor.received_at[0] == acceptor.received_at[1]);
   CHECK(acceptor.received_at[0] == acceptor.received_at[2]);
@@ -211,13 +211,13 @@
   Start({.connections = 4});
   Socket client = Client();
   bool sent = false;
-  acceptor.meanwhile = [&] {
+  acceptor.on_submit = [&] {
     if (!std::exchange(sent, true)) client.SendAll(kPut);
   };
   client.SendAll(kPut);
-  for (int i = 0; i < 2; ++i) CHECK(Line(client).starts_with("-BUSY"));
+  for (int i = 0; i < 2; ++i) CHECK(ReadLine(client).starts_with("-BUSY"));
   client.SendAll(kPut);
-  CHECK(Line(client).starts_with("-BUSY"));
+  CHECK(ReadLine(client).starts_with("-BUSY"));
   REQUIRE(acceptor.received_at.size() == 3);
   CHECK(acceptor.received_at[0] == acceptor.received_at[1]);
   CHECK(acceptor.received_at[2] > acceptor.received_at[1]);
@@ -230,7 +230,7 @@
   for (int i = 0; i < 600; ++i) pipelined += invalid;
   Socket client = Client(pipelined);
   const std::string error = "-ERR unknown command\r\n";
-  CHECK(ToTheEnd(client) == error + error + "-BUSY\r\n" + error + error + error);
+  CHECK(ReadToEnd(client) == error + error + "-BUSY\r\n" + error + error + error);
 }
 
 // Guards against closing a socket with unread input, which resets the connection and may discard
@@ -239,12 +239,12 @@
   Start({.connections = 8, .command = kNever, .idle = kNever});
   acceptor.accepts = true;
   Socket client = Client();
-  acceptor.meanwhile = [&] {  // nothing more is read until this command is answered
+  acceptor.on_submit = [&] {  // nothing more is read until this command is answered
     CHECK(client.SendAll(kPut));
     server->Drain();
   };
   CHECK(client.SendAll(kPut));
-  CHECK(Line(client) == "+OK\r\n");
+  CHECK(ReadLine(client) == "+OK\r\n");
   char byte = 0;
   CHECK(client.Receive({&byte, 1}) == 0);  // closed, not reset
   CHECK(acceptor.accepted == 1);           // the unread command is not accepted
@@ -256,16 +256,16 @@
   Start({.connections = 8, .command = kNever, .idle = kNever});
   acceptor.accepts = true;
   Socket client = Client(), other = Client(kPing);
-  REQUIRE(Line(other) == "+PONG\r\n");
+  REQUIRE(ReadLine(other) == "+PONG\r\n");
   std::thread end;
-  acceptor.meanwhile = [&] {
+  acceptor.on_submit = [&] {
     CHECK(client.SendAll(kPut));
     end = std::thread([&] { server.reset(); });
-    CHECK(ToTheEnd(other).empty());  // the server is stopping
+    CHECK(ReadToEnd(other).empty());  // the server is stopping
     other.Close();
   };
   CHECK(client.SendAll(kPut));
-  CHECK(Line(client) == "+OK\r\n");
+  CHECK(ReadLine(client) == "+OK\r\n");
   char byte = 0;
   CHECK(client.Receive({&byte, 1}) == 0);
   client.Close();
@@ -290,7 +290,7 @@
 TEST_CASE_FIXTURE(Fixture, "the reply to a protocol error arrives although input is left unread") {
   Start({.connections = 2});
   Socket client = Client("*1\r\n$60000000\r\n" + std::string(300'000, 'x'));
-  CHECK(ToTheEnd(client) == "-ERR protocol error\r\n");
+  CHECK(ReadToEnd(client) == "-ERR protocol error\r\n");
 }
 
 }  // namespace
--- a/tests/network/connection_pool_test.cpp
+++ b/tests/network/connection_pool_test.cpp
@@ -59,18 +59,18 @@
 
 // Guards against reading a late second answer of an endpoint as the answer to the next call.
 TEST_CASE_FIXTURE(Fixture, "after unsolicited input a connection is reused after a settle time") {
-  Socket unasked = ReturnNew();
-  unasked.SendAll("HTTP/1.1 200 OK\r\n\r\n");
+  Socket unsolicited = ReturnNew();
+  unsolicited.SendAll("HTTP/1.1 200 OK\r\n\r\n");
   CHECK_FALSE(pool.Take(kEndpoint, kAddress, kStart).socket.is_open());
-  CHECK(IsClosed(unasked));
+  CHECK(IsClosed(unsolicited));
   Socket peer = ReturnNew();
   const SteadyTime settled = kStart + ConnectionPool::kSettleTime;
   CHECK_FALSE(pool.Take(kEndpoint, kAddress, settled - milliseconds(1)).socket.is_open());
   CHECK(pool.Take(kEndpoint, kAddress, settled).socket.is_open());
   Socket other = ReturnNew(kStart, kOtherEndpoint);
   CHECK(pool.Take(kOtherEndpoint, kAddress, kStart).socket.is_open());
-  Socket later = ReturnNew(kStart + ConnectionPool::kUnaskedInputMemory);
-  CHECK(pool.Take(kEndpoint, kAddress, kStart + ConnectionPool::kUnaskedInputMemory)
+  Socket later = ReturnNew(kStart + ConnectionPool::kUnsolicitedInputWindow);
+  CHECK(pool.Take(kEndpoint, kAddress, kStart + ConnectionPool::kUnsolicitedInputWindow)
             .socket.is_open());
 }
 
@@ -129,7 +129,7 @@
   AnsweredConnection idle(pool, kStart);
   const AnsweredConnection other(pool, kStart, kOtherEndpoint);
   pool.Return(std::move(idle.connection), kStart);
-  pool.OnUnaskedInput(kEndpoint, kStart);
+  pool.OnUnsolicitedInput(kEndpoint, kStart);
   CHECK(in_use.certainty() == AnswerCertainty::kDoubtful);
   CHECK(idle.certainty() == AnswerCertainty::kDoubtful);
   CHECK(other.certainty() == AnswerCertainty::kUnsettled);
@@ -141,12 +141,12 @@
   const AnsweredConnection later(pool, kStart + milliseconds(1));
   pool.OnCallWritten(later.connection, kStart + milliseconds(1));
   pool.Return(std::move(answered.connection), kStart);
-  const SteadyTime rested = kStart + UnsettledAnswers::kSettleTime;
-  pool.SettleAnswers(rested);
+  const SteadyTime settled = kStart + UnsettledAnswers::kSettleTime;
+  pool.SettleAnswers(settled);
   CHECK(answered.certainty() == AnswerCertainty::kUnsettled);  // a later call is in flight
   using CallEnd = UnsettledAnswers::CallEnd;
   const auto end = [&](CallEnd how) {
-    pool.OnCallEnded(later.connection, kStart + milliseconds(1), how, rested + milliseconds(1));
+    pool.OnCallEnded(later.connection, kStart + milliseconds(1), how, settled + milliseconds(1));
   };
   SUBCASE("the later call is not answered") {
     end(CallEnd::kSilent);
@@ -154,19 +154,19 @@
   }
   SUBCASE("the later call is answered") {
     end(CallEnd::kAnswered);
-    pool.SettleAnswers(rested + milliseconds(1));
+    pool.SettleAnswers(settled + milliseconds(1));
     CHECK(answered.certainty() == AnswerCertainty::kCertain);
   }
   SUBCASE("the later call is broken off") {
     end(CallEnd::kOther);
-    pool.SettleAnswers(rested + milliseconds(1));
+    pool.SettleAnswers(settled + milliseconds(1));
     CHECK(answered.certainty() == AnswerCertainty::kCertain);
   }
   SUBCASE("another call that was written long enough after the answer is answered") {
-    pool.OnCallWritten(later.connection, rested);
-    pool.OnCallEnded(later.connection, rested, CallEnd::kAnswered, rested);
+    pool.OnCallWritten(later.connection, settled);
+    pool.OnCallEnded(later.connection, settled, CallEnd::kAnswered, settled);
     end(CallEnd::kSilent);
-    pool.SettleAnswers(rested + milliseconds(1));
+    pool.SettleAnswers(settled + milliseconds(1));
     CHECK(answered.certainty() == AnswerCertainty::kCertain);
   }
 }
@@ -190,9 +190,9 @@
   pool.Return(std::move(reused), too_long);
   CHECK_FALSE(pool.Take(kEndpoint, kAddress, too_long).socket.is_open());
   CHECK(answered.certainty() == AnswerCertainty::kUnsettled);
-  const SteadyTime rested = too_long + UnsettledAnswers::kSettleTime;
-  CHECK(pool.Take(kEndpoint, kAddress, rested).socket.is_open());
-  pool.SettleAnswers(rested);
+  const SteadyTime settled = too_long + UnsettledAnswers::kSettleTime;
+  CHECK(pool.Take(kEndpoint, kAddress, settled).socket.is_open());
+  pool.SettleAnswers(settled);
   CHECK(answered.certainty() == AnswerCertainty::kCertain);
 }
 
--- a/tests/network/discovery_watcher_test.cpp
+++ b/tests/network/discovery_watcher_test.cpp
@@ -17,7 +17,7 @@
 
 using std::chrono::milliseconds;
 
-enum class Path { kSilent, kRefused, kSlowToRefuse, kWatchFellSilent, kWatchEnded };
+enum class Path { kSilent, kRefused, kSlowToRefuse, kWatchBecameSilent, kWatchEnded };
 
 // Returns the time from the moment when discovery is reachable and has a change until it is polled.
 milliseconds NoticeDelay(Path path, std::size_t group, std::uint64_t seed, milliseconds down) {
@@ -25,7 +25,7 @@
   const DiscoveryTimeouts::Time start{milliseconds(10'000)};
   DiscoveryTimeouts::Time now = start;
   const DiscoveryTimeouts::Time reachable = start + down;
-  if (path == Path::kWatchFellSilent || path == Path::kWatchEnded) {
+  if (path == Path::kWatchBecameSilent || path == Path::kWatchEnded) {
     times.OnPollStarted(now);
     times.OnProgress(now);  // the last progress: the watch becomes silent, or ends, right after it
     now = path == Path::kWatchEnded ? now : times.GiveUpAt();
@@ -34,10 +34,10 @@
   std::mt19937_64 random(seed);
   while (now < reachable) {  // a request made before that moment is not answered
     times.OnPollStarted(now);
-    const auto whole = std::chrono::duration_cast<milliseconds>(times.GiveUpAt() - now);
-    now += path == Path::kSilent ? whole
+    const auto silence = std::chrono::duration_cast<milliseconds>(times.GiveUpAt() - now);
+    now += path == Path::kSilent ? silence
            : path == Path::kSlowToRefuse
-               ? whole * static_cast<milliseconds::rep>(random() % 100) / 100
+               ? silence * static_cast<milliseconds::rep>(random() % 100) / 100
                : milliseconds(1);
     now += times.DelayAfter(now);
   }
@@ -47,7 +47,7 @@
 TEST_CASE("a change is noticed in time on every path and with every group size") {
   milliseconds worst{0};
   for (const Path path : {Path::kSilent, Path::kRefused, Path::kSlowToRefuse,
-                          Path::kWatchFellSilent, Path::kWatchEnded}) {
+                          Path::kWatchBecameSilent, Path::kWatchEnded}) {
     for (const std::size_t group : {1, 2, 4, 5, 30, 100, 300, 1000, 100'000}) {
       for (std::uint64_t seed = 0; seed < 200; ++seed) {
         const milliseconds down(static_cast<milliseconds::rep>(seed * 97 % 20'000));
@@ -80,13 +80,14 @@
   DiscoveryWatcher watch(LocalAddress(agent), 1, {}, buffers, [&](MemberList) { ++lists; });
   Socket trickling = Accept(agent);
   trickling.SendAll("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-  bool asked_again = false;
+  bool requested_again = false;
   // Sends a byte every 5 ms, far more often than the silence timeout.
-  for (int i = 0; i < 4000 && !asked_again; ++i) {
+  for (int i = 0; i < 4000 && !requested_again; ++i) {
     trickling.SendAll("1\r\n \r\n");
-    asked_again = agent.AwaitInput(std::chrono::steady_clock::now() + std::chrono::milliseconds(5));
+    requested_again =
+        agent.AwaitInput(std::chrono::steady_clock::now() + std::chrono::milliseconds(5));
   }
-  REQUIRE(asked_again);
+  REQUIRE(requested_again);
   Socket good = Accept(agent);
   const std::string line = R"({"revision":2,"complete":true,"members":[]})"
                            "\n";
--- a/tests/network/endpoint_client_test.cpp
+++ b/tests/network/endpoint_client_test.cpp
@@ -90,9 +90,9 @@
   Socket first;
   CHECK(Answered(first, kOk).status == 200);
   // Sent during the last check before the first byte, when the connection has already been chosen.
-  const auto send_unasked = [&first] { return first.is_open() && first.SendAll(kOk); };
+  const auto send_unsolicited = [&first] { return first.is_open() && first.SendAll(kOk); };
   bool sent = false;
-  const auto permit = [&] { return sent || (sent = send_unasked()); };
+  const auto permit = [&] { return sent || (sent = send_unsolicited()); };
   client.Start(std::make_shared<EndpointCall>(++number, 1, peer.address, HttpGet("/", peer.address),
                                               kNever, permit));
   Socket second = peer.AcceptRequest();
@@ -225,23 +225,23 @@
     CHECK(socket.Receive({&byte, 1}) == 1);
   }
 
-  bool AnswerIsTakenForEarly() {
+  bool AnswerIsMistakenForEarlyInput() {
     REQUIRE(ours.SendAll("q"));
     ReceiveByte(peer);
     REQUIRE(peer.SendAll("a"));
     REQUIRE(ours.AwaitInput(kNever));
-    const bool taken_for_early = ours.InputPrecedesWrite();
+    const bool mistaken = ours.InputPrecedesWrite();
     ReceiveByte(ours);
-    return taken_for_early;
+    return mistaken;
   }
-  bool EarlyInputIsTold() {
+  bool EarlyInputIsDetected() {
     REQUIRE(peer.SendAll("x"));
     REQUIRE(ours.AwaitInput(kNever));
     REQUIRE(ours.SendAll("q"));
-    const bool told = ours.InputPrecedesWrite();
+    const bool detected = ours.InputPrecedesWrite();
     ReceiveByte(ours);
     ReceiveByte(peer);
-    return told;
+    return detected;
   }
 
   Socket ours = NewSocket();
@@ -254,10 +254,10 @@
                   "input received before a write is distinguished from its answer") {
   constexpr int kExchanges = 500;
   // The kernel begins to record receive times only some time after they were enabled.
-  while (!EarlyInputIsTold()) std::this_thread::yield();
+  while (!EarlyInputIsDetected()) std::this_thread::yield();
   for (int i = 0; i < kExchanges; ++i) {
-    CHECK_FALSE(AnswerIsTakenForEarly());
-    CHECK(EarlyInputIsTold());
+    CHECK_FALSE(AnswerIsMistakenForEarlyInput());
+    CHECK(EarlyInputIsDetected());
   }
 }
 
@@ -316,11 +316,11 @@
 }
 
 TEST_CASE_FIXTURE(Fixture, "after rejected connections an idle connection is closed soon") {
-  Socket turned_away, taken;
+  Socket rejected, accepted;
   const std::string busy = "HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
   for (int i = 0; i < 4; ++i)
-    CHECK(Answered(turned_away, busy).outcome == CallOutcome::kConnectionLimitReached);
-  CHECK(Answered(taken, kOk).complete);
+    CHECK(Answered(rejected, busy).outcome == CallOutcome::kConnectionLimitReached);
+  CHECK(Answered(accepted, kOk).complete);
   CHECK(client.NextIdleExpiry() < std::chrono::steady_clock::now() + std::chrono::seconds(1));
 }
 
--- a/tests/network/engine_test.cpp
+++ b/tests/network/engine_test.cpp
@@ -167,13 +167,13 @@
 TEST_CASE_FIXTURE(Fixture,
                   "a message whose client has not been sent the acceptance is not delivered") {
   Run();
-  const SubmitResult unheard = engine->Submit(Message("unheard"));
-  const SubmitResult heard = engine->Submit(Message("heard"));
-  REQUIRE(unheard.status == SubmitResult::Status::kAccepted);
-  REQUIRE(heard.status == SubmitResult::Status::kAccepted);
-  engine->OnAcknowledged(heard.message);
-  CHECK(AnswerOne() == "heard");
-  engine->OnClientDisconnected(unheard.message);
+  const SubmitResult unacknowledged = engine->Submit(Message("unacknowledged"));
+  const SubmitResult acknowledged = engine->Submit(Message("acknowledged"));
+  REQUIRE(unacknowledged.status == SubmitResult::Status::kAccepted);
+  REQUIRE(acknowledged.status == SubmitResult::Status::kAccepted);
+  engine->OnAcknowledged(acknowledged.message);
+  CHECK(AnswerOne() == "acknowledged");
+  engine->OnClientDisconnected(unacknowledged.message);
 }
 
 // Guards against using the answer to a batch after its first message was given up: the answer was
--- a/tests/network/folder_owner_test.cpp
+++ b/tests/network/folder_owner_test.cpp
@@ -66,9 +66,9 @@
     owner.RecordEnd(7);
   }
   {
-    FolderOwner waits_in_vain(folder.path);
-    REQUIRE(waits_in_vain.Lock() == Outcome::kHeld);
-    waits_in_vain.RecordEnd(0);  // no effect, as it has not acquired the folder
+    FolderOwner locker(folder.path);
+    REQUIRE(locker.Lock() == Outcome::kHeld);
+    locker.RecordEnd(0);  // no effect, as it has not acquired the folder
   }
   FolderOwner owner(folder.path);
   REQUIRE(owner.Lock() == Outcome::kHeld);
--- a/tests/network/http_test.cpp
+++ b/tests/network/http_test.cpp
@@ -84,8 +84,8 @@
 TEST_CASE("bytes after a complete response don't change it and end the use of the connection") {
   for (int seed = 0; seed < testing::kRounds; ++seed) {
     for (const std::string_view text : {kPlain, kChunked}) {
-      const std::string behind = testing::Garbage(text, seed) + "x";
-      const HttpReader reader = Read(std::string(text) + behind, seed);
+      const std::string surplus = testing::Garbage(text, seed) + "x";
+      const HttpReader reader = Read(std::string(text) + surplus, seed);
       CHECK(reader.done());
       CHECK(reader.body() == Read(text).body());
       CHECK_FALSE(reader.keep_alive());
--- a/tests/network/idle_connection_budget_test.cpp
+++ b/tests/network/idle_connection_budget_test.cpp
@@ -32,8 +32,8 @@
     CHECK(budget.MaxIdleConnections(now) == 1);
     // The share of time for which each forwarder keeps a connection, times the size of the group:
     // the mean number of idle connections.
-    const double held = budget.IdleTimeout(now, kIdle) / Seconds(gap) * kGroup;
-    CHECK(held <= 8.5);
+    const double mean_idle = budget.IdleTimeout(now, kIdle) / Seconds(gap) * kGroup;
+    CHECK(mean_idle <= 8.5);
   }
 }
 
--- a/tests/network/json_test.cpp
+++ b/tests/network/json_test.cpp
@@ -60,19 +60,19 @@
   const std::string text =
       "\n" + std::string(kList) + "\r\n\nlast\n" + indented + indented + "  \r\n \n";
   for (int seed = 0; seed < testing::kRounds; ++seed) {
-    ObjectCutter cutter;
+    JsonObjectSplitter splitter;
     std::vector<std::string> pieces;
     testing::InCuts(text, seed, [&](std::string_view part) {
-      for (std::string& piece : cutter.Feed(part)) pieces.push_back(std::move(piece));
+      for (std::string& piece : splitter.Feed(part)) pieces.push_back(std::move(piece));
     });
     CHECK(pieces ==
           std::vector<std::string>{"", std::string(kList), "", "last", indented, indented, ""});
-    CHECK(cutter.partial().empty());
+    CHECK(splitter.partial().empty());
   }
-  ObjectCutter small(4);
+  JsonObjectSplitter small(4);
   small.Feed("12345");
   CHECK(small.broken());
-  ObjectCutter nested(4);
+  JsonObjectSplitter nested(4);
   nested.Feed("{{{{{");
   CHECK(nested.broken());
 }
--- a/tests/network/spool_test.cpp
+++ b/tests/network/spool_test.cpp
@@ -126,9 +126,9 @@
     kept = spool.file_bytes();
     REQUIRE(spool.Accept(2, Message("2")));
   }
-  const std::string whole = folder.Read();
-  for (std::size_t cut = kept; cut < whole.size(); ++cut) {
-    folder.Write(whole.substr(0, cut));
+  const std::string intact = folder.Read();
+  for (std::size_t cut = kept; cut < intact.size(); ++cut) {
+    folder.Write(intact.substr(0, cut));
     {
       Spool spool = Open(folder);
       CHECK(spool.open_messages() == 1);
@@ -147,9 +147,9 @@
     first_message = spool.file_bytes();
     for (SpoolId i = 1; i <= 2; ++i) REQUIRE(spool.Accept(i, Message(std::to_string(i))));
   }
-  const std::string whole = folder.Read();
-  for (std::size_t at = 0; at < whole.size(); ++at) {
-    std::string changed = whole;
+  const std::string intact = folder.Read();
+  for (std::size_t at = 0; at < intact.size(); ++at) {
+    std::string changed = intact;
     changed[at] = static_cast<char>(changed[at] ^ 0x40);
     folder.Write(changed);
     int reports = 0;
@@ -241,7 +241,7 @@
     REQUIRE(spool.Accept(3, Message("third")));
   }
   // Changes a byte of the second record in the file, and returns the new contents of the file.
-  std::string SpoilSecond(const Folder& folder, std::string bytes) const {
+  std::string CorruptSecond(const Folder& folder, std::string bytes) const {
     bytes[end - 1] = 'x';
     folder.Write(bytes);
     return bytes;
@@ -273,12 +273,12 @@
 TEST_CASE("a record that changes after the file was read leaves a message to be given up") {
   const Folder folder;
   const StoredMessages stored(folder);
-  const std::string whole = folder.Read();
+  const std::string intact = folder.Read();
   for (std::size_t at = stored.begin; at < stored.end; ++at) {
-    folder.Write(whole);
+    folder.Write(intact);
     int reports = 0;
     Spool spool = Open(folder, &reports);
-    std::string changed = whole;
+    std::string changed = intact;
     changed[at] = static_cast<char>(changed[at] ^ 0x40);
     folder.Write(changed);
     CheckSecondIsGivenUp(spool, spool.Recover());
@@ -296,7 +296,7 @@
   const StoredMessages stored(folder);
   {
     Spool spool = Open(folder);
-    stored.SpoilSecond(folder, folder.Read());
+    stored.CorruptSecond(folder, folder.Read());
     REQUIRE(spool.Recover().size() == 3);
   }
   int reports = 0;
@@ -324,7 +324,7 @@
   const StoredMessages stored(folder);
   {
     Spool spool = Open(folder);
-    stored.SpoilSecond(folder, folder.Read());
+    stored.CorruptSecond(folder, folder.Read());
     fs::create_directory(folder.path() + "/spool.new");
     CheckSecondIsGivenUp(spool, spool.Recover());
     for (SpoolId number = 1; number <= 3; ++number) spool.Finish(number);
@@ -336,10 +336,10 @@
 TEST_CASE("damage that is found later is kept after damage found earlier") {
   const Folder folder;
   const StoredMessages stored(folder);
-  const std::string whole = folder.Read();
-  folder.Write(whole + "torn");
+  const std::string intact = folder.Read();
+  folder.Write(intact + "torn");
   Spool spool = Open(folder);
-  const std::string changed = stored.SpoilSecond(folder, whole);
+  const std::string changed = stored.CorruptSecond(folder, intact);
   CheckSecondIsGivenUp(spool, spool.Recover());
   CHECK(ReadKept(folder) == "torn" + changed.substr(stored.begin, stored.end - stored.begin));
 }
@@ -349,7 +349,7 @@
   const StoredMessages stored(folder);
   int reports = 0;
   Spool spool = Spool::OpenToRead(folder.path(), [&](const std::string&) { ++reports; });
-  const std::string changed = stored.SpoilSecond(folder, folder.Read());
+  const std::string changed = stored.CorruptSecond(folder, folder.Read());
   CHECK(spool.Recover().size() == 2);
   CHECK(reports == 1);
   CHECK(folder.Read() == changed);
