--- a/src/net/client_connection_table.hpp
+++ b/src/net/client_connection_table.hpp
@@ -18,6 +18,7 @@
 
 namespace brassfront {
 
+// Owns the client connections. Not thread-safe.
 class ClientConnectionTable {
  public:
   // When an idle connection may be closed to make room for others.
--- a/src/net/client_server.hpp
+++ b/src/net/client_server.hpp
@@ -32,6 +32,7 @@
 
 namespace brassfront {
 
+// Accepts client connections and executes their commands until it is destroyed.
 class ClientServer {
  public:
   struct Limits {
--- a/src/net/close_reason.hpp
+++ b/src/net/close_reason.hpp
@@ -6,6 +6,7 @@
 
 namespace brassfront {
 
+// The reason why a connection ended.
 enum class CloseReason {
   kCancelled,        // the engine stopped the call
   kClientGone,       // the client closed before the reply that its message is accepted
--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -37,6 +37,7 @@
   void Close(CloseReason reason);
 };
 
+// Owns the idle connections to all endpoints. Not thread-safe.
 class ConnectionPool {
  public:
   struct Options {
--- a/src/net/discovery_timeouts.hpp
+++ b/src/net/discovery_timeouts.hpp
@@ -30,6 +30,7 @@
 
 namespace brassfront {
 
+// The timeouts and delays of one discovery watcher. Not thread-safe.
 class DiscoveryTimeouts {
  public:
   using Time = std::chrono::steady_clock::time_point;
--- a/src/net/discovery_watcher.hpp
+++ b/src/net/discovery_watcher.hpp
@@ -16,6 +16,7 @@
 
 namespace brassfront {
 
+// Watches discovery in a thread, from its construction to its destruction.
 class DiscoveryWatcher {
  public:
   // Called by the watcher's thread.
--- a/src/net/endpoint_call.hpp
+++ b/src/net/endpoint_call.hpp
@@ -105,6 +105,7 @@
   kCancelled,               // aborted with kCancelled; it may have run
 };
 
+// The result of a call: its outcome and the response, if there is one.
 struct EndpointCallResult {
   std::uint64_t call_id = 0;
   CallOutcome outcome = CallOutcome::kReset;
--- a/src/net/endpoint_client.hpp
+++ b/src/net/endpoint_client.hpp
@@ -19,6 +19,7 @@
 
 namespace brassfront {
 
+// Performs calls to all endpoints. Thread-safe.
 class EndpointClient {
  public:
   struct Options {
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -19,6 +19,7 @@
 
 namespace brassfront {
 
+// A client with one connection, for one thread that makes the requests.
 class HttpClient {
  public:
   struct Timeouts {
--- a/src/net/idle_connection_budget.hpp
+++ b/src/net/idle_connection_budget.hpp
@@ -11,6 +11,7 @@
 
 namespace brassfront {
 
+// The budget of one forwarder for one endpoint. Not thread-safe.
 class IdleConnectionBudget {
  public:
   using Time = std::chrono::steady_clock::time_point;
--- a/src/net/notification_client.hpp
+++ b/src/net/notification_client.hpp
@@ -24,6 +24,7 @@
   int status = 0;          // HTTP status code; 0 if no complete response was received
 };
 
+// Posts notifications to one address. Thread-safe.
 class NotificationClient {
  public:
   // Connecting may take this long if the platform's listener is overloaded.
--- a/src/protocol/base64.hpp
+++ b/src/protocol/base64.hpp
@@ -1,3 +1,4 @@
+// Encoding of bytes as base64 (RFC 4648).
 #ifndef BRASSFRONT_PROTOCOL_BASE64_HPP_
 #define BRASSFRONT_PROTOCOL_BASE64_HPP_
 
@@ -6,6 +7,7 @@
 
 namespace brassfront {
 
+// Encodes the bytes with padding and without line breaks.
 std::string EncodeBase64(std::string_view bytes);
 
 }  // namespace brassfront
--- a/src/protocol/delivery_request.hpp
+++ b/src/protocol/delivery_request.hpp
@@ -12,8 +12,10 @@
 
 namespace brassfront {
 
+// Maximum size of a message body.
 inline constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
 
+// A message that a client submits for delivery to a destination.
 struct DeliveryRequest {
   std::string id;
   std::string key;  // the idempotency key; empty if there is none
--- a/src/protocol/discovery.hpp
+++ b/src/protocol/discovery.hpp
@@ -11,8 +11,10 @@
 
 namespace brassfront {
 
+// The lifecycle phase of a member of an endpoint list.
 enum class Phase { kReady, kTerminating, kGone };
 
+// An endpoint in an endpoint list.
 struct Member {
   std::string id;
   std::string address;  // host:port
@@ -30,9 +32,10 @@
 // Returns the name of the source in the log.
 [[nodiscard]] std::string_view ToString(ListSource source);
 
+// An endpoint list, or the changes since an earlier one.
 struct MemberList {
   std::uint64_t revision = 0;
-  bool complete = false;
+  bool complete = false;  // false: only the changes
   std::vector<Member> members;
   ListSource source = ListSource::kDiscovery;
 };
--- a/src/protocol/http.hpp
+++ b/src/protocol/http.hpp
@@ -73,6 +73,7 @@
   std::string body_;
 };
 
+// Header names with their values.
 using HttpHeaders = std::vector<std::pair<std::string_view, std::string>>;
 
 // Each formats a complete request; a POST always has a Content-Length header.
--- a/src/protocol/http_request.hpp
+++ b/src/protocol/http_request.hpp
@@ -10,12 +10,14 @@
 
 namespace brassfront {
 
+// The request line of a request; headers and the body are not kept.
 struct HttpRequest {
   std::string method;
   std::string path;   // without the query, not decoded
   std::string query;  // after the question mark, not decoded
 };
 
+// Parses one request, which is fed in chunks of any size.
 class HttpRequestReader {
  public:
   static constexpr std::size_t kMaxHeadBytes = std::size_t{8} * 1024;
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -58,7 +58,7 @@
 
   // Limits the nesting depth, as a deeply nested text could overflow a small stack.
   Value ParseNested(Value (Parser::*read)()) {
-    if (depth_left_ == 0) Fail("nested too deep");
+    if (depth_left_ == 0) Fail("nested too deeply");
     --depth_left_;
     ++position_;
     Value value = (this->*read)();
@@ -179,7 +179,7 @@
     ++position_;
     std::string out;
     while (true) {
-      if (position_ >= text_.size()) Fail("a string without end");
+      if (position_ >= text_.size()) Fail("unterminated string");
       const char c = text_[position_++];
       if (c == '"') return out;
       if (static_cast<unsigned char>(c) < 0x20) Fail("a control character in a string");
@@ -216,7 +216,7 @@
 
 const Value& Value::At(std::string_view name) const {
   const Value* value = Find(name);
-  if (value == nullptr) throw Error("no '" + std::string(name) + "'");
+  if (value == nullptr) throw Error("missing field '" + std::string(name) + "'");
   return *value;
 }
 
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -13,10 +13,12 @@
 
 namespace brassfront::json {
 
+// The text is not valid JSON, or a field is missing or has another type than expected.
 class Error : public std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
+// A parsed JSON value.
 class Value {
  public:
   using Array = std::vector<Value>;
@@ -44,6 +46,7 @@
   Data data_;
 };
 
+// The limits of a text to be parsed: its size and its nesting depth.
 struct Bounds {
   std::size_t bytes = 1 << 20;
   std::size_t depth = 32;
--- a/src/protocol/resp.hpp
+++ b/src/protocol/resp.hpp
@@ -11,11 +11,13 @@
 
 namespace brassfront {
 
+// A command: its name and arguments.
 struct RespCommand {
   std::vector<std::string> words;
   bool oversize = false;  // it exceeded a size limit, and words were skipped
 };
 
+// Parses the commands of one connection, which are fed in chunks of any size.
 class RespReader {
  public:
   // Accepts chunks of any size. Complete commands are appended to commands().
