--- a/src/net/client_commands.cpp
+++ b/src/net/client_commands.cpp
@@ -90,7 +90,7 @@
 
 std::optional<CloseReason> ClientCommands::ExecutePut(ClientConnection& connection,
                                                       RespCommand& command) const {
-  if (standby_.HasBeenOnFor(kAcceptedInStandby, std::chrono::steady_clock::now())) {
+  if (standby_.HasBeenOnFor(kStandbyAcceptPeriod, std::chrono::steady_clock::now())) {
     return Reply(connection, RespError("BUSY", kStandbyRetryAfterMs));
   }
   DeliveryRequest request;
--- a/src/net/client_commands.hpp
+++ b/src/net/client_commands.hpp
@@ -23,7 +23,7 @@
   // How long MSG.PUT is still accepted after standby begins. Within this time, clients that do not
   // look for a healthy forwarder first learn of the standby from PING or because their connection
   // is closed.
-  static constexpr std::chrono::milliseconds kAcceptedInStandby{1000};
+  static constexpr std::chrono::milliseconds kStandbyAcceptPeriod{1000};
 
   // A connection is to be closed after `max_consecutive_invalid` consecutive invalid commands.
   ClientCommands(MessageAcceptor& acceptor, const StandbySwitch& standby,
--- a/src/net/client_server.hpp
+++ b/src/net/client_server.hpp
@@ -71,7 +71,7 @@
   void Drain();
   // Turns standby on or off. In standby, connections are closed as in Drain, so that clients go
   // elsewhere; PING is answered with an error immediately, and MSG.PUT is rejected after
-  // ClientCommands::kAcceptedInStandby.
+  // ClientCommands::kStandbyAcceptPeriod.
   void StandBy(bool stand_by);
   // Returns the number of connections that wait for a command to begin. A connection counts again
   // once its worker has returned it, which may be after the client has read the reply.
