--- a/src/net/unsettled_answers.hpp
+++ b/src/net/unsettled_answers.hpp
@@ -1,4 +1,4 @@
-// Answers that may turn out to belong to earlier requests. A faulty endpoint may send a second,
+// Answers that may turn out to belong to earlier requests. An endpoint may send a second,
 // unsolicited answer to a request. If it arrives after the next request on the same connection, it
 // is read as the answer to that request. The true answer then follows on a connection that seems
 // idle, or never comes if the endpoint has become silent. So an answer on a reused connection is
