--- a/tests/compatibility/make_data.py
+++ b/tests/compatibility/make_data.py
@@ -231,10 +231,10 @@
     parser.add_argument("brassfront", type=os.path.abspath)
     parser.add_argument("simulator", type=os.path.abspath)
     parser.add_argument("parts", nargs="*", metavar="PART")
-    given = parser.parse_args()
-    os.environ["BRASSFRONT"] = given.brassfront
-    os.environ["POLICY_SIMULATOR"] = given.simulator
-    for name in given.parts or PARTS:
+    arguments = parser.parse_args()
+    os.environ["BRASSFRONT"] = arguments.brassfront
+    os.environ["POLICY_SIMULATOR"] = arguments.simulator
+    for name in arguments.parts or PARTS:
         PARTS[name]()
 
 
--- a/tests/compatibility/state_folders.py
+++ b/tests/compatibility/state_folders.py
@@ -182,9 +182,9 @@
     with contextlib.ExitStack() as stack:
         ports = []
         for _ in range(count):
-            held = stack.enter_context(socket.socket(type=socket.SOCK_DGRAM))
-            held.bind(("127.0.0.1", 0))
-            ports.append(held.getsockname()[1])
+            reserved = stack.enter_context(socket.socket(type=socket.SOCK_DGRAM))
+            reserved.bind(("127.0.0.1", 0))
+            ports.append(reserved.getsockname()[1])
         return ports
 
 
--- a/tests/faults/acknowledge_test.py
+++ b/tests/faults/acknowledge_test.py
@@ -62,14 +62,14 @@
         client.send("MSG.PUT", "0" * 16, message, fields, "body")
         return message
 
-    def judge(self, message, reply):
+    def record_reply(self, message, reply):
         """Whether the reply says that the message is owed; it is waited for then."""
         self.assertRegex(reply, r"^(\+OK|-BUSY( \d+)?)$", message)
         if reply == "+OK":
             self.accepted.append(message)
         return reply == "+OK"
 
-    def assert_owed_end(self):
+    def assert_accepted_end(self):
         self.assert_all_end()
         self.await_none_in_flight()
         self.faults.end()
@@ -92,10 +92,10 @@
             client = self.connect()
             message = self.send_put(client)
             end_sending(client)
-            if not self.judge(message, client.read()):
+            if not self.record_reply(message, client.read()):
                 refused.append(message)
             self.assertEqual(client.read(), "")
-        self.assert_owed_end()
+        self.assert_accepted_end()
         self.assert_not_delivered(refused)
 
     # Guards against the same where the end comes while the message is being recorded.
@@ -107,9 +107,9 @@
         wait_for("the record", lambda: self.faults.hits(held) > 0)
         end_sending(client)
         self.faults.end()
-        owed = self.judge(message, client.read())
-        self.assert_owed_end()
-        self.assert_not_delivered([] if owed else [message])
+        accepted = self.record_reply(message, client.read())
+        self.assert_accepted_end()
+        self.assert_not_delivered([] if accepted else [message])
 
     # Guards against the commands behind the first one being left without an answer.
     def test_each_of_several_commands_gets_an_answer(self):
@@ -123,12 +123,12 @@
         self.faults.end()
         replies = read_all(client)
         self.assertEqual(len(replies), 5, replies)
-        refused = [m for m, r in zip(messages, replies) if not self.judge(m, r)]
+        refused = [m for m, r in zip(messages, replies) if not self.record_reply(m, r)]
         self.assertEqual(replies[-1], "+PONG")
-        self.assert_owed_end()
+        self.assert_accepted_end()
         self.assert_not_delivered(refused)
 
-    def test_a_connection_whose_state_cannot_be_told_gets_an_answer(self):
+    def test_a_connection_whose_state_cannot_be_queried_gets_an_answer(self):
         self.start()
         for error in ("ENOBUFS", "EINVAL", "ENOMEM"):
             with self.subTest(error):
@@ -136,23 +136,23 @@
                 client = self.connect()
                 message = self.send_put(client)
                 end_sending(client)
-                self.judge(message, client.read())
+                self.record_reply(message, client.read())
                 self.assertGreater(self.faults.hits(rule), 0)
-                self.assert_owed_end()
+                self.assert_accepted_end()
 
 
 class LeavingTest(AcknowledgeTest):
     """Clients that are gone as soon as they have read `+OK`."""
 
-    def leave_behind(self, leave):
+    def leave_after_reply(self, leave):
         self.start()
         for _ in range(20):
             client = self.connect()
             message = self.send_put(client)
-            owed = self.judge(message, client.read())
+            accepted = self.record_reply(message, client.read())
             leave(client)
-            self.assertTrue(owed)
-        self.assert_owed_end()
+            self.assertTrue(accepted)
+        self.assert_accepted_end()
 
     def leave_before_the_send_returns(self, leave):
         """The forwarder knows of its reply only once the client is gone."""
@@ -161,17 +161,17 @@
             client = self.connect()
             held = self.faults.fail("send", rig.HOLD_AFTER, times=1)
             message = self.send_put(client)
-            self.assertTrue(self.judge(message, client.read()))
+            self.assertTrue(self.record_reply(message, client.read()))
             self.assertEqual(self.faults.hits(held), 1)
             leave(client)
             self.faults.end()
-            self.assert_owed_end()
+            self.assert_accepted_end()
 
-    def test_a_client_that_closes_behind_its_answer(self):
-        self.leave_behind(toy_server.Client.close)
+    def test_a_client_that_closes_after_its_answer(self):
+        self.leave_after_reply(toy_server.Client.close)
 
-    def test_a_client_that_resets_behind_its_answer(self):
-        self.leave_behind(reset)
+    def test_a_client_that_resets_after_its_answer(self):
+        self.leave_after_reply(reset)
 
     def test_a_client_that_closes_before_the_send_returns(self):
         self.leave_before_the_send_returns(toy_server.Client.close)
@@ -189,9 +189,9 @@
                         self.send_put(client)
                     leave(client)
                     self.put_accepted()
-                    self.assert_owed_end()
+                    self.assert_accepted_end()
 
-    def test_pipelined_commands_of_a_client_that_leaves_behind_the_first_answers(self):
+    def test_pipelined_commands_of_a_client_that_leaves_after_the_first_answers(self):
         self.start()
         for leave in (toy_server.Client.close, reset):
             for read in range(1, 5):
@@ -199,9 +199,9 @@
                     client = self.connect()
                     messages = [self.send_put(client) for _ in range(4)]
                     for message in messages[:read]:
-                        self.judge(message, client.read())
+                        self.record_reply(message, client.read())
                     leave(client)
-                    self.assert_owed_end()
+                    self.assert_accepted_end()
 
 
 class FailingReplyTest(AcknowledgeTest):
@@ -215,8 +215,8 @@
                 client = self.connect()
                 messages = [self.send_put(client) for _ in range(commands)]
                 for message in messages:
-                    self.assertTrue(self.judge(message, client.read()))
-        self.assert_owed_end()
+                    self.assertTrue(self.record_reply(message, client.read()))
+        self.assert_accepted_end()
 
     def test_a_reply_that_fails_for_a_moment(self):
         self.start()
@@ -227,10 +227,10 @@
                     client = self.connect()
                     messages = [self.send_put(client) for _ in range(2)]
                     for message in messages:
-                        self.assertTrue(self.judge(message, client.read()))
+                        self.assertTrue(self.record_reply(message, client.read()))
                     leave(client)
                     self.assertGreater(self.faults.hits(rule), 0)
-                    self.assert_owed_end()
+                    self.assert_accepted_end()
 
     def test_a_reply_that_breaks_off_is_never_completed(self):
         """Part of it was written: the client must not read a whole `+OK`."""
--- a/tests/faults/fault_shim.cpp
+++ b/tests/faults/fault_shim.cpp
@@ -67,7 +67,7 @@
     -5;                                  // the thread waits in front of the call for the rule's end
 constexpr std::int32_t kHoldAfter = -6;  // and behind the call
 constexpr std::int32_t kObserve = -7;    // the call is counted, and carried out as ever
-constexpr std::int32_t kPretend = -9;    // the call is not made, and returns success
+constexpr std::int32_t kFakeSuccess = -9;    // the call is not made, and returns success
 constexpr std::int32_t kHoldHalfway = -8;  // a write moves `bytes`, waits, and moves the rest
 
 struct Rule {
@@ -188,7 +188,7 @@
     }
     case kObserve:
       return real();
-    case kPretend:
+    case kFakeSuccess:
       return 0;
     default:
       errno = rule->error;
--- a/tests/faults/fault_table.py
+++ b/tests/faults/fault_table.py
@@ -12,7 +12,7 @@
     " setsockopt write read flock"
 ).split()
 SHORT, KILL_BEFORE, KILL_AFTER, KILL_HALFWAY = -1, -2, -3, -4
-HOLD_BEFORE, HOLD_AFTER, OBSERVE, HOLD_HALFWAY, PRETEND = -5, -6, -7, -8, -9
+HOLD_BEFORE, HOLD_AFTER, OBSERVE, HOLD_HALFWAY, FAKE_SUCCESS = -5, -6, -7, -8, -9
 RULES = 8
 RULE = struct.Struct("=iiiiqqq")
 HEADER = struct.Struct("=qq")
--- a/tests/faults/final_answer_agent_test.py
+++ b/tests/faults/final_answer_agent_test.py
@@ -81,13 +81,13 @@
     def test_half_an_answer_confirms_nothing(self):
         for length in (1, NO_CONTENT.index(b"4") + 1, len(NO_CONTENT) - 1):
             with self.subTest(length=length):
-                self.assert_confirmed_behind(NO_CONTENT[:length])
+                self.assert_confirmed_after(NO_CONTENT[:length])
 
     # Guards against notifications being dropped after so many errors.
     def test_an_agent_that_answers_with_errors_confirms_at_last(self):
-        self.assert_confirmed_behind(500)
+        self.assert_confirmed_after(500)
 
-    def assert_confirmed_behind(self, answer):
+    def assert_confirmed_after(self, answer):
         self.discovery.posts.clear()
         self.discovery.on_post = lambda post: (
             answer if post.number < self.FAULTS else 204
@@ -123,7 +123,7 @@
             filler.connect_ex((host, port))
 
     # Guards against connections that do not come up keeping new notifications apart.
-    def test_an_agent_that_did_not_accept_reads_all_within_the_posts_that_wait(self):
+    def test_an_agent_that_did_not_accept_reads_all_in_the_pending_posts(self):
         self.start_with_admin()
         wait_for("the watch", lambda: self.discovery.connections)
         self.fill_the_queue()
--- a/tests/faults/final_answer_delivery_test.py
+++ b/tests/faults/final_answer_delivery_test.py
@@ -16,7 +16,7 @@
 from final_answer_test import FinalAnswerTest
 from rig import HOLD_AFTER, Endpoint, toy_server, wait_for
 
-HOLD_UP_S = 0.15  # the longest that a forwarder may be held up, by the protocol
+MAX_PAUSE_S = 0.15  # the longest that a forwarder may be held up, by the protocol
 MARGIN_S = 0.04  # an answer comes so long behind the client's deadline
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
@@ -29,14 +29,14 @@
         self.answer_at = None  # of the monotonic clock
         self.calls = []
         for endpoint in self.endpoints.values():
-            endpoint.answer = self.answer_behind_the_deadline
+            endpoint.answer = self.answer_after_the_deadline
 
-    def answer_behind_the_deadline(self, call):
+    def answer_after_the_deadline(self, call):
         self.calls.append(call["id"])
         threading.Event().wait(timeout=max(0, self.answer_at - time.monotonic()))
         return 200, {}
 
-    def put_while_held_up(self, forwarder, left_s):
+    def put_while_paused(self, forwarder, left_s):
         """The forwarder counts the message's time from HOLD_UP_S behind its sending."""
         client = toy_server.Client(self.listen, timeout=rig.LIMIT)
         self.addCleanup(client.close)
@@ -48,7 +48,7 @@
         )
         self.answer_at = time.monotonic() + left_s + MARGIN_S
         continue_it = threading.Timer(
-            HOLD_UP_S, forwarder.send_signal, [signal.SIGCONT]
+            MAX_PAUSE_S, forwarder.send_signal, [signal.SIGCONT]
         )
         continue_it.start()
         message, reply = client.put(rig.DESTINATION, "body", left_ms=int(left_s * 1000))
@@ -64,13 +64,13 @@
 
     # Guards against an answer behind the client's deadline, but before the forwarder's,
     # ending a message without a notification.
-    def test_a_delivery_behind_the_clients_deadline_is_notified_as_well(self):
+    def test_a_delivery_after_the_clients_deadline_is_notified_as_well(self):
         forwarder = self.start_with_admin()
-        self.await_notification(self.put_while_held_up(forwarder, left_s=0.8))
+        self.await_notification(self.put_while_paused(forwarder, left_s=0.8))
 
     def assert_notified_by_a_successor(self, left_s):
         forwarder = self.start_with_admin()
-        message = self.put_while_held_up(forwarder, left_s)
+        message = self.put_while_paused(forwarder, left_s)
         forwarder.end()
         self.calls.clear()
         self.start()
@@ -89,7 +89,7 @@
 class GoneTest(FinalAnswerTest):
     # Guards against an endpoint's "the message is over" ending it without a
     # notification.
-    def test_a_message_that_is_gone_by_the_endpoint_is_notified(self):
+    def test_a_message_that_the_endpoint_reports_as_gone_is_notified(self):
         for endpoint in self.endpoints.values():
             endpoint.answer = lambda call: (410, {})
         self.start_with_admin()
@@ -130,7 +130,7 @@
         return [dict(m, flavor="bundle") for m in super().members(**phases)]
 
     # Guards against `gone` in a bundle ending its messages without notifications.
-    def test_messages_that_are_gone_in_a_bundle_are_notified(self):
+    def test_messages_that_are_reported_as_gone_in_a_bundle_are_notified(self):
         self.endpoints = {"a": self.new_stand_in(BundleEndpoint)}
         self.config["known"]["members"] = self.members()
         self.config["settings"]["limits"].update(probes=False)
@@ -149,19 +149,19 @@
         self.await_none_in_flight()
 
 
-class DeliveredBehindGiveUpTest(FinalAnswerTest):
+class DeliveredAfterGiveUpTest(FinalAnswerTest):
     # Guards against a late delivery taking a notification back whose post is under way.
     def test_a_notification_is_confirmed_though_the_endpoint_answers_meanwhile(self):
         self.config["settings"]["limits"].update({"may-cancel": False})
         self.set_mode(Endpoint.HOLD)
 
-        def cut_what_was_held(post):
+        def cut_held_posts(post):
             if self.discovery.release.is_set():
                 return 204
             self.discovery.release.wait(timeout=rig.LIMIT)
             return None
 
-        self.discovery.on_post = cut_what_was_held
+        self.discovery.on_post = cut_held_posts
         self.start_with_admin()
         client = toy_server.Client(self.listen, timeout=rig.LIMIT)
         self.addCleanup(client.close)
@@ -234,7 +234,7 @@
 class SecondAnswerTest(EndpointThatAnswersTwice):
     # Guards against a call being ended by an answer that was there before it was
     # written.
-    def test_an_answer_that_nobody_asked_for_ends_no_call(self):
+    def test_an_unsolicited_answer_ends_no_call(self):
         self.start_with_admin()
         self.deliver_first()
         self.accepting[0].sendall(OK)
--- a/tests/faults/final_answer_restart_test.py
+++ b/tests/faults/final_answer_restart_test.py
@@ -12,7 +12,7 @@
 from final_answer_test import FinalAnswerTest
 from rig import KILL_AFTER, KILL_BEFORE, Endpoint, wait_for
 
-SIGKILL_BEHIND_SIGTERM_S = 3.7  # by the protocol, no sooner
+SIGKILL_AFTER_SIGTERM_S = 3.7  # by the protocol, no sooner
 
 
 class RestartTest(FinalAnswerTest):
@@ -43,7 +43,7 @@
         messages = [self.give_up_one() for _ in range(3)]
         started = time.monotonic()
         self.assertEqual(forwarder.end(signal.SIGTERM), 0)
-        self.assertLess(time.monotonic() - started, SIGKILL_BEHIND_SIGTERM_S)
+        self.assertLess(time.monotonic() - started, SIGKILL_AFTER_SIGTERM_S)
         self.assert_confirmed_by_a_successor(messages)
 
 
@@ -70,19 +70,19 @@
                 )
                 message = self.put_accepted(left_ms=left_ms)
                 forwarder.process.wait(timeout=rig.LIMIT)
-                told = self.lines_of(message)
-                self.assertEqual(told[0]["status"], "deferred")
+                posted = self.lines_of(message)
+                self.assertEqual(posted[0]["status"], "deferred")
                 self.set_mode(Endpoint.TAKE)
                 self.assert_confirmed_by_a_successor([message])
                 self.set_mode(Endpoint.REJECT)
                 self.assertEqual(self.calls_of(message), [])
                 for line in self.lines_of(message):
-                    self.assertEqual(line, told[0])
+                    self.assertEqual(line, posted[0])
 
 
 class KilledTest(RestartTest):
     # Guards against a notification that was read and not confirmed being dropped.
-    def test_a_kill_behind_the_first_post_leaves_its_notification_to_the_successor(
+    def test_a_kill_after_the_first_post_leaves_its_notification_to_the_successor(
         self,
     ):
         forwarder = self.start_with_admin()
--- a/tests/faults/final_answer_shortage_test.py
+++ b/tests/faults/final_answer_shortage_test.py
@@ -87,7 +87,7 @@
         self.assert_confirmed(messages)
 
     # Guards against one post that is held occupying the only thread.
-    def test_a_held_post_keeps_none_back_though_no_further_thread_can_be_started(self):
+    def test_an_unanswered_post_blocks_no_other_though_no_thread_can_be_started(self):
         self.discovery.on_post = self.discovery.hold
         self.start_with_admin()
         self.faults.fail("thread", "EAGAIN")
@@ -116,7 +116,7 @@
     )
 
     # Guards against a call that fails for a while ending the posts for good.
-    def test_notifications_are_confirmed_behind_each_call_that_failed(self):
+    def test_notifications_are_confirmed_after_each_failed_call(self):
         self.set_mode(Endpoint.HANG)  # no call to an endpoint is begun under a fault
         self.start_with_admin()
         for call, error in self.FAULTS:
--- a/tests/faults/final_answer_test.py
+++ b/tests/faults/final_answer_test.py
@@ -83,13 +83,13 @@
 
 class UndecidedTest(FinalAnswerTest):
     # Guards against an owed message that nobody decides about outliving its deadline.
-    def test_owed_messages_end_while_the_exclusions_cannot_be_read(self):
+    def test_restored_messages_end_while_the_exclusions_cannot_be_read(self):
         forwarder = self.start()
-        owed = [self.put_accepted(left_ms=1500) for _ in range(3)]
+        undelivered = [self.put_accepted(left_ms=1500) for _ in range(3)]
         forwarder.end()
         (self.state / "exclusions").mkdir()  # can be opened, not read
         self.start_with_admin()
-        for message in owed:
+        for message in undelivered:
             wait_for("its notification", lambda: self.discovery.has_read(message))
         self.await_none_in_flight()
 
@@ -105,7 +105,7 @@
     # Guards against a call that the platform does not count, since it may have
     # outlasted
     # one of its messages, ending the others.
-    def test_all_messages_of_a_call_about_the_deadline_of_one_are_notified(self):
+    def test_all_messages_of_a_call_that_ends_near_one_deadline_are_notified(self):
         endpoint = self.endpoints["a"]
         forwarder = self.start()
         pair = []
--- a/tests/faults/incident_test.py
+++ b/tests/faults/incident_test.py
@@ -16,7 +16,7 @@
 class LogReaderTest(FaultTest):
     def test_a_process_outlives_the_reader_of_its_log(self):
         forwarder = self.start()
-        forwarder.leave_log()
+        forwarder.close_log_reader()
         for _ in range(20):  # each connection's end is a line
             self.assertEqual(self.ping(), "+PONG")
             self.put_accepted()
@@ -52,7 +52,7 @@
                 self.assert_all_end()  # while there is a process that can
                 forwarder.end()
 
-    def test_standard_descriptors_that_are_closed_are_not_taken_by_files(self):
+    def test_files_do_not_reuse_closed_standard_descriptors(self):
         """Otherwise the spool or a connection would get their number, and the log's
         lines."""
         for closed in ("2>&-", "<&- >&- 2>&-"):
@@ -82,34 +82,34 @@
 
 
 class KnownListTest(FaultTest):
-    def owe_messages(self, count):
+    def accept_undelivered(self, count):
         """Accepted messages that no endpoint has taken yet, left by a process that was
         killed."""
         self.set_mode(Endpoint.REJECT)
         forwarder = self.start()
-        owed = [self.put_accepted(left_ms=20000) for _ in range(count)]
+        undelivered = [self.put_accepted(left_ms=20000) for _ in range(count)]
         forwarder.end()
         self.set_mode(Endpoint.TAKE)
-        return owed
+        return undelivered
 
-    def test_owed_messages_do_not_go_to_an_endpoint_that_began_to_drain_meanwhile(self):
+    def test_restored_messages_avoid_an_endpoint_that_started_to_drain_meanwhile(self):
         for phase in ("Terminating", "Gone"):
             with self.subTest(phase):
-                self.tell()
-                owed = self.owe_messages(6)
+                self.announce_members()
+                undelivered = self.accept_undelivered(6)
                 self.endpoints["a"].delivered.clear()
-                self.tell(a=phase)
+                self.announce_members(a=phase)
                 forwarder = self.start()  # its configuration still has `a` as ready
-                for message in owed:
+                for message in undelivered:
                     wait_for("the call", lambda: "b" in self.calls_of(message))
                 self.assertEqual(self.calls_to("a"), 0)
                 forwarder.end()
 
-    def test_without_an_answer_of_discovery_owed_messages_are_tried_all_the_same(self):
-        owed = self.owe_messages(3)
+    def test_restored_messages_are_sent_though_discovery_does_not_answer(self):
+        undelivered = self.accept_undelivered(3)
         self.config["discovery"] = "127.0.0.1:1"
         self.start()
-        for message in owed:
+        for message in undelivered:
             wait_for("a call", lambda: self.calls_of(message))
 
     def test_lists_over_several_lines_and_in_any_chunks_are_read(self):
@@ -118,10 +118,10 @@
                 with self.subTest(chunk_bytes=chunk_bytes, indent=indent):
                     self.discovery.indent = indent
                     self.discovery.chunk_bytes = chunk_bytes
-                    self.tell()
+                    self.announce_members()
                     forwarder = self.start()
                     self.settle("a")
-                    self.tell(a="Terminating")
+                    self.announce_members(a="Terminating")
                     wait_for(
                         "the state",
                         lambda: any(
@@ -147,7 +147,7 @@
         self.assert_all_end()
         forwarder.end()
 
-    def test_a_start_waits_out_what_fails_for_a_moment(self):
+    def test_a_start_survives_transient_failures(self):
         for call, error in (
             ("socket", "ENFILE"),
             ("socket", "ENOBUFS"),
@@ -164,7 +164,7 @@
 
 
 class RunningTest(FaultTest):
-    def test_what_fails_here_is_not_taken_for_the_endpoint_or_the_client(self):
+    def test_a_local_failure_is_not_blamed_on_the_endpoint_or_the_client(self):
         """Local conditions end no message and no connection of a client."""
         for call, error in (
             ("socket", "ENFILE"),
@@ -194,7 +194,7 @@
                 client.close()
                 forwarder.end()
 
-    def test_a_wait_that_is_interrupted_again_and_again_costs_no_core(self):
+    def test_waits_that_are_interrupted_repeatedly_use_little_cpu(self):
         forwarder = self.start()
         ticks = os.sysconf("SC_CLK_TCK")
 
--- a/tests/faults/load_judge.py
+++ b/tests/faults/load_judge.py
@@ -15,7 +15,7 @@
 class Wait:
     """An answer that asked to wait; times are of one monotonic clock."""
 
-    told_at: float
+    requested_at: float
     until: float
 
 
@@ -25,7 +25,7 @@
         (at, wait)
         for at in arrivals
         for wait in waits
-        if wait.told_at + WAIT_SLACK_S < at < wait.until
+        if wait.requested_at + WAIT_SLACK_S < at < wait.until
     ]
 
 
--- a/tests/faults/matrix_test.py
+++ b/tests/faults/matrix_test.py
@@ -98,7 +98,7 @@
         self.lock = threading.Lock()
         self.stopped = threading.Event()
 
-    def hand_in(self, timeout=2):
+    def submit_once(self, timeout=2):
         """Hands one message in that may not be repeated; its id if it was accepted."""
         message = uuid.uuid4().hex[:16]
         fields = ONCE + ",d=%d,k=%s,dest=%d" % (DEADLINE_MS, message, rig.DESTINATION)
@@ -121,7 +121,7 @@
     def load(self):
         """Hands messages in until it is stopped."""
         while not self.stopped.is_set():
-            self.hand_in()
+            self.submit_once()
             time.sleep(0.02)
 
     def under_load(self, seconds):
@@ -136,7 +136,7 @@
         """How long it takes until a message is accepted; None if it does not come."""
         begun = time.monotonic()
         while time.monotonic() - begun < limit:
-            if self.hand_in():
+            if self.submit_once():
                 return time.monotonic() - begun
             time.sleep(0.01)
         return None
@@ -188,10 +188,10 @@
             failures.append("no service")
         elif served > served_within:
             failures.append("served after %.1f s" % served)
-        failures += self.unended()
+        failures += self.message_failures()
         return Verdict(cell, failures, self.faults.hits(rule), served or 0)
 
-    def unended(self):
+    def message_failures(self):
         end = time.monotonic() + END_LIMIT_S
         left = list(self.accepted)
         while left and time.monotonic() < end:
@@ -213,14 +213,14 @@
 
 
 def play(cell, served_within=SERVED_LIMIT_S):
-    table = MatrixRig()
-    table.setUp()
+    matrix_rig = MatrixRig()
+    matrix_rig.setUp()
     try:
-        return table.play(cell, served_within)
+        return matrix_rig.play(cell, served_within)
     except Exception as error:  # a cell that can't be played has failed
         return Verdict(cell, ["not played: %r" % error], 0, 0)
     finally:
-        table.doCleanups()
+        matrix_rig.doCleanups()
 
 
 def all_cells(only, phases):
@@ -233,7 +233,7 @@
     ]
 
 
-def page(verdicts, jobs):
+def format_page(verdicts, jobs):
     lines = (PAGE_HEAD % (jobs, FAULT_S, IDLE_S, SERVED_LIMIT_S)).splitlines()
     lines.append("| call | errno | " + " | ".join(PHASES) + " |")
     lines.append("| --- | --- |" + " --- |" * len(PHASES))
@@ -269,20 +269,20 @@
     parser.add_argument("--served-within", type=float, default=SERVED_LIMIT_S)
     parser.add_argument("--phases", nargs="+", choices=PHASES, default=PHASES)
     parser.add_argument("-v", action="store_true", help="ignored; as unittest has it")
-    given = parser.parse_args()
-    cells = all_cells(given.only, given.phases)
+    arguments = parser.parse_args()
+    cells = all_cells(arguments.only, arguments.phases)
     verdicts = []
     with concurrent.futures.ProcessPoolExecutor(
-        given.jobs, mp_context=multiprocessing.get_context("spawn")
+        arguments.jobs, mp_context=multiprocessing.get_context("spawn")
     ) as pool:
         for played in concurrent.futures.as_completed(
-            [pool.submit(play, cell, given.served_within) for cell in cells]
+            [pool.submit(play, cell, arguments.served_within) for cell in cells]
         ):
             verdicts.append(played.result())
             if verdicts[-1].failures:
                 print(verdicts[-1], flush=True)
-    if given.write:
-        pathlib.Path(given.write).write_text(page(verdicts, given.jobs))
+    if arguments.write:
+        pathlib.Path(arguments.write).write_text(format_page(verdicts, arguments.jobs))
     failed = sum(1 for verdict in verdicts if verdict.failures)
     print("%d passed, %d failed" % (len(verdicts) - failed, failed))
     return 1 if failed else 0
--- a/tests/faults/operator_test.py
+++ b/tests/faults/operator_test.py
@@ -55,7 +55,7 @@
 
 
 class CallTest(OperatorTest):
-    def test_each_path_takes_its_method_alone(self):
+    def test_each_path_accepts_only_its_method(self):
         self.start()
         for method, path, status in (
             ("GET", "/status", 200),
@@ -102,7 +102,7 @@
         self.assertEqual(self.call("GET", "/status"), 200)
         self.assertEqual(self.ping(), "+PONG")
 
-    def test_slow_callers_hold_nobody_up_and_are_ended(self):
+    def test_slow_callers_block_nobody_and_are_disconnected(self):
         self.start()
         slow = [
             socket.create_connection(self.admin.split(":"), timeout=rig.LIMIT)
@@ -150,7 +150,7 @@
 
 
 class StandbyTest(OperatorTest):
-    def test_standby_sends_clients_away_and_active_takes_them_back(self):
+    def test_standby_disconnects_clients_and_active_accepts_them_again(self):
         self.start()
         client = toy_server.Client(self.listen, timeout=rig.LIMIT)
         self.assertEqual(client.call("PING"), "+PONG")
@@ -165,7 +165,7 @@
 
 
 class ExclusionTest(OperatorTest):
-    def test_an_endpoint_that_is_out_gets_nothing_new_until_it_is_back(self):
+    def test_an_excluded_endpoint_gets_no_new_messages_until_it_is_back(self):
         self.start()
         self.settle("a")
         self.assertEqual(self.enter(), 200)
@@ -174,7 +174,7 @@
         self.assertEqual(self.exit(), 200)
         self.assert_a_serves()
 
-    def test_messages_that_wait_are_not_sent_to_it(self):
+    def test_waiting_messages_are_not_sent_to_an_excluded_endpoint(self):
         self.set_mode(Endpoint.REJECT)
         self.start()
         for _ in range(10):
@@ -185,7 +185,7 @@
         self.assert_all_end()
         self.assertEqual(self.calls_to("a"), before)
 
-    def test_messages_whose_endpoints_are_all_out_end_with_a_notice(self):
+    def test_messages_whose_endpoints_are_all_excluded_end_with_a_notice(self):
         """Over a restart too, and also where they waited for one of these."""
         self.set_mode(Endpoint.REJECT)
         forwarder = self.start()
@@ -201,12 +201,12 @@
             wait_for("the notice", lambda: self.notices_of(message))
             self.assertEqual(self.calls_of(message), [])
 
-    def test_lists_do_not_bring_it_back(self):
+    def test_lists_do_not_end_an_exclusion(self):
         self.start()
         self.settle("a")
         self.assertEqual(self.enter(), 200)
         for phases in ({}, {"a": "Terminating"}, {}, {"a": "Gone"}, {}):
-            self.tell(**phases)
+            self.announce_members(**phases)
             self.assert_excluded(messages=5)
         self.assertEqual(self.exit(), 200)
         self.assert_a_serves()
@@ -215,14 +215,14 @@
         self.start()
         self.settle("a")
         self.assertEqual(self.enter(), 200)
-        self.tell(a="Terminating")
+        self.announce_members(a="Terminating")
         self.assert_excluded(messages=3)
         self.assertEqual(self.exit(), 200)
         self.assert_excluded(messages=5)  # by the list's word now
-        self.tell()
+        self.announce_members()
         self.assert_a_serves()
 
-    def test_a_new_discovery_address_does_not_bring_it_back(self):
+    def test_a_new_discovery_address_does_not_end_an_exclusion(self):
         forwarder = self.start()
         self.assertEqual(self.enter(), 200)
         other = self.new_stand_in(rig.Discovery)
@@ -238,7 +238,7 @@
         )
         self.assert_excluded()
 
-    def test_it_outlasts_the_process_however_that_ends(self):
+    def test_an_exclusion_survives_the_process_however_it_ends(self):
         forwarder = self.start()
         self.assertEqual(self.enter(), 200)
         for how in (signal.SIGTERM, signal.SIGKILL, signal.SIGTERM):
@@ -250,7 +250,7 @@
         self.start()
         self.assert_a_serves()
 
-    def test_where_the_folder_fails_it_holds_in_memory_and_is_stored_later(self):
+    def test_an_exclusion_holds_while_the_folder_fails_and_is_stored_later(self):
         for call in ("open", "pwrite", "fsync", "rename"):
             with self.subTest(call):
                 forwarder = self.start()
@@ -270,7 +270,7 @@
                 self.assertEqual(self.exit(), 200)
                 forwarder.end()
 
-    def test_no_call_is_made_while_it_is_not_known_who_is_out(self):
+    def test_no_call_is_made_while_the_exclusions_are_unknown(self):
         forwarder = self.start()
         self.assertEqual(self.enter(), 200)
         forwarder.end()
@@ -285,7 +285,7 @@
         self.faults.end()
         self.assert_excluded(messages=5)
 
-    def test_who_does_not_own_the_folder_leaves_the_file_alone(self):
+    def test_a_process_that_does_not_own_the_folder_does_not_write_the_file(self):
         self.start()
         self.assertEqual(self.enter("a"), 200)
         stored = (self.state / "exclusions").read_bytes()
@@ -309,32 +309,32 @@
         for skip in (0, 1)
     ] + [("pwrite", rig.KILL_HALFWAY, 0)]
 
-    def attempt(self, ask):
+    def try_call(self, request):
         """The status; None if the process died before it answered."""
         try:
-            return ask()
+            return request()
         except OSError:
             return None
 
-    def test_what_was_answered_holds(self):
-        is_out = False
+    def test_an_answered_request_survives_a_kill(self):
+        excluded = False
         forwarder = self.start()
         for number in range(self.ROUNDS):
             call, how, skip = self.STEPS[number // 2 % len(self.STEPS)]
-            goes_out = number % 2 == 0
+            enters = number % 2 == 0
             with self.subTest(number=number, call=call, how=how, skip=skip):
                 self.faults.fail(call, how, skip=skip, bytes_moved=5)
-                status = self.attempt(self.enter if goes_out else self.exit)
+                status = self.try_call(self.enter if enters else self.exit)
                 self.faults.end()
                 if status is not None:
                     self.assertEqual(status, 200)
-                    is_out = goes_out
+                    excluded = enters
                 forwarder.end()
                 forwarder = self.start()
                 if status is None:  # either may hold: say it again
-                    self.assertEqual(self.enter() if goes_out else self.exit(), 200)
-                    is_out = goes_out
-                if is_out:
+                    self.assertEqual(self.enter() if enters else self.exit(), 200)
+                    excluded = enters
+                if excluded:
                     self.assert_excluded(messages=2)
                 else:
                     self.put_accepted()
--- a/tests/faults/ownership_test.py
+++ b/tests/faults/ownership_test.py
@@ -31,7 +31,7 @@
     def waits(self, forwarder):
         return any(WAITING in line for line in forwarder.log)
 
-    def start_beside(self):
+    def start_successor(self):
         """A process that has read what it reads at its start, and is held before it
         listens; or one that waits for the other."""
         held = self.successor_faults.fail("bind", rig.HOLD_BEFORE)
@@ -53,14 +53,14 @@
         )
         return successor
 
-    def note(self):
+    def read_owner_file(self):
         """What the owner of the folder has written into its file."""
         return (self.state / "owner").read_text()
 
-    def assert_takes_over_note(self, successor, process, open_messages):
+    def assert_reads_owner_file(self, successor, process, open_messages):
         """The successor has read this last word of its predecessor."""
-        told = "predecessor=%d predecessor_open=%s" % (process.pid, open_messages)
-        wait_for("the note", lambda: any(told in line for line in successor.log))
+        expected = "predecessor=%d predecessor_open=%s" % (process.pid, open_messages)
+        wait_for("the note", lambda: any(expected in line for line in successor.log))
 
     def release(self, successor):
         self.successor_faults.end()
@@ -88,39 +88,39 @@
         self.assertEqual([], [line for line in last.log if "unreadable" in line])
         last.end()
 
-    def play(self, crossing):
+    def play(self, scenario):
         for number in range(ROUNDS):
             with self.subTest(round=number):
                 self.set_mode(Endpoint.REJECT)  # what is accepted stays owed
                 predecessor = self.start()
                 self.accept()
-                crossing(predecessor)
+                scenario(predecessor)
                 self.faults.end()
                 self.successor_faults.end()
 
 
-class CrossingTest(OwnershipTest):
+class InterleavingTest(OwnershipTest):
     def test_predecessor_accepts_after_the_successor_has_read(self):
-        def crossing(predecessor):
-            self.hand_over(predecessor, self.start_beside())
+        def scenario(predecessor):
+            self.hand_over(predecessor, self.start_successor())
 
-        self.play(crossing)
+        self.play(scenario)
 
-    def cross_write(self, how, **options):
-        def crossing(predecessor):
+    def overlap_write(self, how, **options):
+        def scenario(predecessor):
             held = self.faults.fail("pwrite", how, **options)
             wait_for("a write", lambda: self.faults.hits(held) > 0)
-            successor = self.start_beside()
+            successor = self.start_successor()
             self.faults.end()
             self.hand_over(predecessor, successor)
 
-        self.play(crossing)
+        self.play(scenario)
 
     def test_predecessor_is_held_within_a_write(self):
-        self.cross_write(rig.HOLD_HALFWAY, bytes_moved=11)
+        self.overlap_write(rig.HOLD_HALFWAY, bytes_moved=11)
 
     def test_predecessor_is_held_before_a_write(self):
-        self.cross_write(rig.HOLD_BEFORE)
+        self.overlap_write(rig.HOLD_BEFORE)
 
     def compact(self, seen):
         """Hands messages in until the folder is compacted: the spool records the end of
@@ -135,8 +135,8 @@
         self.assert_all_end()
         self.set_mode(Endpoint.REJECT)
 
-    def cross_compaction(self, how):
-        def crossing(predecessor):
+    def overlap_compaction(self, how):
+        def scenario(predecessor):
             held = self.faults.fail("rename", how)
             self.set_mode(Endpoint.TAKE)
 
@@ -147,30 +147,30 @@
             client = threading.Thread(target=put_until_held)
             client.start()
             wait_for("a compaction", lambda: self.faults.hits(held) > 0)
-            successor = self.start_beside()
+            successor = self.start_successor()
             self.faults.end()
             client.join()
             self.set_mode(Endpoint.REJECT)
             self.hand_over(predecessor, successor)
 
-        self.play(crossing)
+        self.play(scenario)
 
     def test_predecessor_is_held_before_the_rename_of_a_compaction(self):
-        self.cross_compaction(rig.HOLD_BEFORE)
+        self.overlap_compaction(rig.HOLD_BEFORE)
 
-    def test_predecessor_is_held_behind_the_rename_of_a_compaction(self):
-        self.cross_compaction(rig.HOLD_AFTER)
+    def test_predecessor_is_held_after_the_rename_of_a_compaction(self):
+        self.overlap_compaction(rig.HOLD_AFTER)
 
     def test_predecessor_compacts_after_the_successor_has_read(self):
-        def crossing(predecessor):
+        def scenario(predecessor):
             seen = self.faults.fail("rename", rig.OBSERVE)
-            successor = self.start_beside()
+            successor = self.start_successor()
             self.compact(seen)
             self.accept()
             self.assertGreater(self.faults.hits(seen), 0)
             self.hand_over(predecessor, successor)
 
-        self.play(crossing)
+        self.play(scenario)
 
 
 class WaitTest(OwnershipTest):
@@ -178,7 +178,7 @@
 
     READY_S = 10  # after its predecessor's end
 
-    def wait_beside(self):
+    def start_waiting_successor(self):
         successor = self.launch(faults=self.successor_faults)
         wait_for("a process that waits", lambda: self.waits(successor))
         return successor
@@ -196,19 +196,19 @@
         }
 
     def test_a_successor_takes_over_when_its_predecessor_is_killed(self):
-        def crossing(predecessor):
-            successor = self.wait_beside()
+        def scenario(predecessor):
+            successor = self.start_waiting_successor()
             self.accept()
             predecessor.end()
             self.assert_ready(successor, time.monotonic())
             self.assert_all_end_once()
             successor.end()
 
-        self.play(crossing)
+        self.play(scenario)
 
     def test_a_successor_takes_over_when_its_predecessor_has_shut_down(self):
-        def crossing(predecessor):
-            successor = self.wait_beside()
+        def scenario(predecessor):
+            successor = self.start_waiting_successor()
             self.accept()
             self.assertEqual(predecessor.end(signal.SIGTERM), 0)
             self.assert_ready(successor, time.monotonic())
@@ -219,14 +219,14 @@
                 wrong += [line for line in forwarder.log if "do not agree" in line]
                 self.assertEqual(wrong, [])
 
-        self.play(crossing)
+        self.play(scenario)
 
     def test_a_predecessor_that_is_stopped_keeps_what_it_owns(self):
-        def crossing(predecessor):
-            successor = self.wait_beside()
+        def scenario(predecessor):
+            successor = self.start_waiting_successor()
             before = self.files()
             predecessor.send_signal(signal.SIGSTOP)
-            second = self.wait_beside()
+            second = self.start_waiting_successor()
             second.end()
             self.assertEqual(self.files().keys(), before.keys())
             self.assertTrue(successor.alive())
@@ -237,7 +237,7 @@
             self.assert_all_end_once()
             successor.end()
 
-        self.play(crossing)
+        self.play(scenario)
 
     def test_a_process_that_waits_ends_on_a_signal_and_has_touched_nothing(self):
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGQUIT):
@@ -248,7 +248,7 @@
                 self.assert_all_end()
                 predecessor.send_signal(signal.SIGSTOP)
                 before = self.files()
-                successor = self.wait_beside()
+                successor = self.start_waiting_successor()
                 successor.send_signal(signal.SIGHUP)
                 self.assertEqual(successor.end(number), 0)
                 self.assertEqual(self.files(), before)
@@ -257,9 +257,9 @@
                 self.assert_all_end_once()
                 predecessor.end()
 
-    def test_a_process_that_waits_in_vain_says_who_owns_the_folder(self):
+    def test_a_process_whose_wait_times_out_logs_who_owns_the_folder(self):
         predecessor = self.start()
-        successor = self.wait_beside()
+        successor = self.start_waiting_successor()
         self.successor_faults.step_monotonic_clock(60)
         self.assertEqual(successor.process.wait(timeout=rig.LIMIT), os.EX_UNAVAILABLE)
         owned = "is owned by process %d" % predecessor.process.pid
@@ -316,7 +316,7 @@
                 self.assert_all_end_once()
                 successor.end()
 
-    def test_a_file_system_without_locks_is_used_by_who_has_the_address(self):
+    def test_a_file_system_without_locks_is_used_by_the_address_owner(self):
         for error in ("EOPNOTSUPP", "ENOSYS"):
             with self.subTest(error):
                 self.set_mode(Endpoint.REJECT)
@@ -324,9 +324,9 @@
                 self.successor_faults.fail("flock", error)
                 predecessor = self.start()
                 self.accept()
-                before = self.note()
+                before = self.read_owner_file()
                 successor = self.start_without_address()
-                self.assertEqual(self.note(), before)
+                self.assertEqual(self.read_owner_file(), before)
                 self.accept()
                 predecessor.end()
                 self.await_serving(successor)
@@ -337,7 +337,7 @@
                 self.faults.end()
                 self.successor_faults.end()
 
-    def test_a_lock_that_is_interrupted_is_asked_for_again(self):
+    def test_a_lock_that_is_interrupted_is_retried(self):
         self.faults.fail("flock", "EINTR", times=5)
         forwarder = self.start()
         self.set_mode(Endpoint.TAKE)
@@ -366,7 +366,7 @@
     """A predecessor of a version that knows no lock: it has the address alone."""
 
     def start_unlocked(self):
-        rule = self.faults.fail("flock", rig.PRETEND)
+        rule = self.faults.fail("flock", rig.FAKE_SUCCESS)
         predecessor = self.start()
         self.assertGreater(self.faults.hits(rule), 0)
         return predecessor
@@ -391,47 +391,47 @@
 
     # Guards against a successor that overwrites the note of a predecessor which lives,
     # and so never learns how many messages that one has left open.
-    def test_a_successor_leaves_the_note_of_a_living_predecessor(self):
+    def test_a_successor_does_not_overwrite_a_living_predecessors_owner_file(self):
         for number in range(ROUNDS):
             with self.subTest(round=number):
                 self.set_mode(Endpoint.REJECT)
                 predecessor = self.start_unlocked()
                 self.accept()
-                before = self.note()
+                before = self.read_owner_file()
                 self.assertIn("pid %d\n" % predecessor.process.pid, before)
                 successor = self.start_without_address()
-                self.assertEqual(self.note(), before)
+                self.assertEqual(self.read_owner_file(), before)
                 self.assertEqual(predecessor.end(signal.SIGTERM), 0)
                 self.faults.end()
                 self.successor_faults.end()
                 self.await_serving(successor)
-                self.assert_takes_over_note(successor, predecessor.process, 3)
+                self.assert_reads_owner_file(successor, predecessor.process, 3)
                 self.assert_all_end_once()
                 successor.end()
                 self.accepted.clear()
 
     # Guards against a start that locks the folder, does not get the address, and takes
     # the last word of its predecessor with it.
-    def test_a_start_without_the_address_leaves_the_last_word(self):
+    def test_a_start_without_the_address_does_not_overwrite_the_owner_file(self):
         self.set_mode(Endpoint.REJECT)
         predecessor = self.start()
         self.accept()
         self.assertEqual(predecessor.end(signal.SIGTERM), 0)
-        before = self.note()
+        before = self.read_owner_file()
         self.assertIn("open 3\n", before)
         host, port = self.listen.split(":")
         with socket.create_server((host, int(port))):
             stopped = self.start_without_address()
-            self.assertEqual(self.note(), before)
+            self.assertEqual(self.read_owner_file(), before)
             self.assertEqual(stopped.end(signal.SIGTERM), 0)
             self.successor_faults.end()
             late = self.start_without_address()
             self.successor_faults.step_monotonic_clock(60)
             status = late.process.wait(timeout=rig.LIMIT)
             self.assertEqual(status, os.EX_UNAVAILABLE)
-            self.assertEqual(self.note(), before)
+            self.assertEqual(self.read_owner_file(), before)
         successor = self.start()
-        self.assert_takes_over_note(successor, predecessor.process, 3)
+        self.assert_reads_owner_file(successor, predecessor.process, 3)
         self.assert_all_end_once()
         successor.end()
 
@@ -464,10 +464,10 @@
         predecessor.end()
 
 
-class TwiceTest(OwnershipTest):
+class SecondProcessTest(OwnershipTest):
     def test_a_second_process_started_by_mistake_changes_nothing(self):
-        def crossing(predecessor):
-            successor = self.start_beside()
+        def scenario(predecessor):
+            successor = self.start_successor()
             self.successor_faults.end()
             self.accept()
             successor.end()
@@ -477,7 +477,7 @@
             self.assert_all_end_once()
             last.end()
 
-        self.play(crossing)
+        self.play(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/faults/replacement_rig.py
+++ b/tests/faults/replacement_rig.py
@@ -11,7 +11,7 @@
 
 WAITING = "waiting for the state folder"
 RATE = 50.0  # calls a second that the destination takes; `size` in its list
-FEED_INTERVAL_S = 0.02
+SUBMIT_INTERVAL_S = 0.02
 SEND_LEFT_MS = 20000
 
 
@@ -38,10 +38,10 @@
         return self.answer_by_mode(call)
 
 
-class Feed:
+class SteadyClient:
     """A client that hands in messages at an even rate, on connections that it keeps."""
 
-    def __init__(self, test, interval_s=FEED_INTERVAL_S):
+    def __init__(self, test, interval_s=SUBMIT_INTERVAL_S):
         self.test = test
         self.interval_s = interval_s
         self.stopping = threading.Event()
@@ -76,7 +76,7 @@
         super().setUp()
         for name in "ab":
             self.endpoints[name] = self.new_stand_in(TimedEndpoint)
-        self.tell()
+        self.announce_members()
         self.config["known"]["members"] = self.members()
         self.rules = ColdRules.of_settings(self.config["settings"], RATE)
         self.tables = 0
@@ -93,7 +93,7 @@
         process.faults = faults
         return process
 
-    def start_beside(self):
+    def start_successor(self):
         """A second process that waits for the first one to end."""
         faults = self.own_faults()
         process = self.launch(faults=faults)
@@ -106,18 +106,18 @@
 
     def replace(self, process, how=signal.SIGTERM):
         """The second process, which serves once the first one has ended."""
-        successor = self.start_beside()
+        successor = self.start_successor()
         process.end(how)
         self.await_serving(successor)
         return successor
 
     # ---- trouble ----
 
-    def shut_until(self, opens_at):
+    def reject_until(self, opens_at):
         for endpoint in self.endpoints.values():
             endpoint.opens_at = opens_at
 
-    def waits_told(self):
+    def requested_waits(self):
         return [w for e in self.endpoints.values() for w in list(e.waits)]
 
     def arrivals(self):
@@ -137,7 +137,7 @@
     # ---- judgement ----
 
     def assert_waits_kept(self):
-        broken = calls_in_waits(self.arrivals(), self.waits_told())
+        broken = calls_in_waits(self.arrivals(), self.requested_waits())
         first = broken[:1]
         self.assertFalse(broken, "%d calls in a wait: %s" % (len(broken), first))
 
--- a/tests/faults/replacement_test.py
+++ b/tests/faults/replacement_test.py
@@ -5,13 +5,13 @@
 import unittest
 
 from load_judge import calls_in_waits
-from replacement_rig import Feed, ReplacementTest
+from replacement_rig import SteadyClient, ReplacementTest
 from rig import Endpoint, admin_call, wait_for
 
 WAIT_S = 8.0  # reaches beyond a graceful shutdown of 3.2 s and the next start
 SHORT_WAIT_S = 4.0  # for changes by SIGKILL, which take no time
 MESSAGES = 12
-KILL_BEHIND_WAIT_S = 0.1  # a wait binds from then on
+WAIT_BINDS_AFTER_S = 0.1  # a wait binds from then on
 FORGET_AFTER_S = 1  # behind its removal: the longest time of a message
 HOUSEKEEPING_S = 1.5  # within which removed endpoints are looked at
 NEW_VERSION_FILE = "conditions"
@@ -24,23 +24,23 @@
         self.put_accepted()
         self.assert_all_end()
         self.opens_at = time.monotonic() + wait_s
-        self.shut_until(self.opens_at)
+        self.reject_until(self.opens_at)
         for _ in range(MESSAGES):
             self.put_accepted()
-        wait_for("a wait", self.waits_told)
+        wait_for("a wait", self.requested_waits)
         return process
 
     def await_binding(self):
         """All waits that were told bind from now on."""
-        told_at = max(wait.told_at for wait in self.waits_told())
+        requested_at = max(wait.requested_at for wait in self.requested_waits())
         wait_for(
             "the moment from which the wait binds",
-            lambda: time.monotonic() > told_at + KILL_BEHIND_WAIT_S,
+            lambda: time.monotonic() > requested_at + WAIT_BINDS_AFTER_S,
         )
 
     def kill(self, process):
         """The process that takes over from one that is killed once the wait binds."""
-        successor = self.start_beside()
+        successor = self.start_successor()
         self.await_binding()
         process.end(signal.SIGKILL)
         self.await_serving(successor)
@@ -63,7 +63,7 @@
         self.assert_kept_to_its_end()
 
     # Guards against a wait that only a graceful shutdown hands over.
-    def test_a_wait_binds_behind_sigkill(self):
+    def test_a_wait_binds_after_sigkill(self):
         self.kill(self.begin_wait(SHORT_WAIT_S))
         self.assert_kept_to_its_end()
 
@@ -74,10 +74,10 @@
         self.assert_kept_to_its_end()
 
     # Guards against a second process that spoils what it is to take over.
-    def test_a_wait_outlives_a_second_process_that_dies_while_it_waits(self):
+    def test_a_wait_survives_a_second_process_that_dies_while_it_waits(self):
         process = self.begin_wait(SHORT_WAIT_S)
         for how in (signal.SIGKILL, signal.SIGTERM):
-            self.start_beside().end(how)
+            self.start_successor().end(how)
         self.kill(process)
         self.assert_kept_to_its_end()
 
@@ -88,9 +88,9 @@
         wait_for(
             "a wait of each", lambda: all(e.waits for e in self.endpoints.values())
         )
-        self.tell(a="Gone", b="Gone")
+        self.announce_members(a="Gone", b="Gone")
         successor = self.kill(process)
-        self.tell()
+        self.announce_members()
         self.await_log(successor, "condition restored endpoint", 2)
         self.assert_kept_to_its_end()
 
@@ -101,20 +101,20 @@
         self.config["settings"]["classes"][0]["hard-limit"] = FORGET_AFTER_S * 10**9
         process = self.start_process()
         self.opens_at = time.monotonic() + WAIT_S
-        self.shut_until(self.opens_at)
+        self.reject_until(self.opens_at)
         for _ in range(MESSAGES):
             self.put()
         wait_for(
             "a wait of each", lambda: all(e.waits for e in self.endpoints.values())
         )
-        self.tell(a="Gone", b="Gone")
+        self.announce_members(a="Gone", b="Gone")
         self.assert_all_end()
         gone_at = time.monotonic()
         wait_for(
             "the endpoints to be forgotten",
             lambda: time.monotonic() > gone_at + FORGET_AFTER_S + HOUSEKEEPING_S,
         )
-        self.tell()
+        self.announce_members()
         for name in self.endpoints:  # it counts as one that was not known
             self.await_log(process, "endpoint listed id=" + name, 2)
         for _ in range(MESSAGES):
@@ -123,7 +123,7 @@
 
     # Guards against a folder that fails or is full when the wait is told, and is well
     # again when the next process starts.
-    def test_a_wait_binds_though_the_folder_fails_when_it_is_told(self):
+    def test_a_wait_binds_though_the_folder_fails_when_it_is_requested(self):
         for error in ("EIO", "ENOSPC"):
             with self.subTest(error):
                 process = self.start_process()
@@ -134,11 +134,11 @@
                 for call in ("pwrite", "open", "ftruncate", "rename", "fsync"):
                     process.faults.fail(call, error)
                 self.opens_at = time.monotonic() + SHORT_WAIT_S
-                self.shut_until(self.opens_at)
+                self.reject_until(self.opens_at)
                 self.set_mode(Endpoint.TAKE)
                 for endpoint in self.endpoints.values():
                     endpoint.released.set()
-                wait_for("a wait", self.waits_told)
+                wait_for("a wait", self.requested_waits)
                 successor = self.kill(process)
                 self.assert_kept_to_its_end()
                 successor.end()
@@ -156,21 +156,23 @@
                 stored[offset + 40] ^= 0xFF
             path.write_bytes(stored)
 
-        spoilers = {
+        corruptions = {
             "an earlier version": lambda path: path.unlink(),
             "damaged": damage,
             "cut off": lambda path: path.write_bytes(path.read_bytes()[:100]),
         }
-        for name, spoil in spoilers.items():
+        for name, corrupt in corruptions.items():
             with self.subTest(name):
                 process = self.begin_wait(SHORT_WAIT_S)
                 self.await_binding()
                 process.end(signal.SIGKILL)
-                spoil(self.state / NEW_VERSION_FILE)
-                told = [w for w in self.waits_told() if w.until == self.opens_at]
+                corrupt(self.state / NEW_VERSION_FILE)
+                requested = [
+                    w for w in self.requested_waits() if w.until == self.opens_at
+                ]
                 successor = self.start_process()
                 self.await_end_of_wait()
-                broken = {at for at, _ in calls_in_waits(self.arrivals(), told)}
+                broken = {at for at, _ in calls_in_waits(self.arrivals(), requested)}
                 self.assertLessEqual(len(broken), len(self.endpoints))
                 self.assertLess(len(broken), MESSAGES)
                 successor.end()
@@ -180,23 +182,23 @@
     def play_return(self, change):
         """An outage, the return, and a change of process once the return is known."""
         process = self.start_process()
-        feed = Feed(self)
-        self.addCleanup(feed.stop)
+        client = SteadyClient(self)
+        self.addCleanup(client.stop)
         self.fail_until_open(process)
         returned_at = time.monotonic()
         self.set_mode(Endpoint.TAKE)
         self.await_log(process, "breaker recovering")
         change(process)
-        self.judge_window(feed, returned_at)
+        self.judge_window(client, returned_at)
 
-    def judge_window(self, feed, returned_at):
+    def judge_window(self, client, returned_at):
         """The load up to the end of a whole window behind now."""
         changed_at = time.monotonic()
         wait_for(
             "a whole window behind the change",
             lambda: time.monotonic() > changed_at + self.rules.window_s,
         )
-        feed.stop()
+        client.stop()
         self.assertLess(changed_at - returned_at, self.rules.warm_after_s)
         self.assert_within_cold_budget(returned_at)
 
@@ -206,16 +208,16 @@
 
     # Guards against the report 115bff: a destination that has come back cold gets the
     # full load from the process that takes over, and falls again.
-    def test_a_cold_destination_is_spared_by_the_process_that_takes_over(self):
+    def test_a_cold_destination_gets_reduced_load_after_a_takeover(self):
         self.play_return(self.replace)
 
     # Guards against endpoints that come back from maintenance cold, and get the full
     # load from the process that takes over.
-    def test_a_return_from_maintenance_is_spared_by_the_process_that_takes_over(self):
+    def test_a_return_from_maintenance_gets_reduced_load_after_a_takeover(self):
         self.config["admin"] = self.admin
         process = self.start_process()
-        feed = Feed(self)
-        self.addCleanup(feed.stop)
+        client = SteadyClient(self)
+        self.addCleanup(client.stop)
         wait_for("deliveries", lambda: len(self.arrivals()) > 10)
 
         def call_operators(path):
@@ -233,10 +235,10 @@
         call_operators("/maintenance/exit")
         wait_for("a call", lambda: max(self.arrivals()) > returned_at)
         self.replace(process, signal.SIGKILL)
-        self.judge_window(feed, returned_at)
+        self.judge_window(client, returned_at)
 
     # Guards against a return that only a graceful shutdown hands over.
-    def test_a_cold_destination_is_spared_behind_sigkill(self):
+    def test_a_cold_destination_gets_reduced_load_after_sigkill(self):
         self.play_return(lambda process: self.replace(process, signal.SIGKILL))
 
 
--- a/tests/faults/rig.py
+++ b/tests/faults/rig.py
@@ -32,7 +32,7 @@
     KILL_BEFORE,
     KILL_HALFWAY,
     OBSERVE,
-    PRETEND,
+    FAKE_SUCCESS,
     SHORT,
     FaultTable,
 )
@@ -172,7 +172,7 @@
                 *whole, rest = (rest + part).split(b"\n")
                 self.log += [line.decode(errors="replace") for line in whole]
 
-    def leave_log(self):
+    def close_log_reader(self):
         """The reader of the log goes away: the pipe has no read end any more."""
         nowhere = os.open(os.devnull, os.O_RDONLY)
         os.dup2(nowhere, self.read_end)
@@ -220,7 +220,7 @@
         self.addCleanup(stand_in.shutdown)
         return stand_in
 
-    def tell(self, **phases):
+    def announce_members(self, **phases):
         """Discovery has a new list, such as `a="Terminating"`; the rest is ready."""
         self.discovery.announce(self.members(**phases))
 
--- a/tests/faults/signal_test.py
+++ b/tests/faults/signal_test.py
@@ -9,7 +9,7 @@
 
 
 class SignalTest(FaultTest):
-    def test_signals_that_mean_nothing_end_nothing(self):
+    def test_signals_other_than_shutdown_do_not_end_the_process(self):
         forwarder = self.start()
         for number in (signal.SIGUSR1, signal.SIGUSR2, signal.SIGPIPE, signal.SIGHUP):
             forwarder.send_signal(number)
@@ -29,7 +29,7 @@
         self.put_accepted()
         self.assert_all_end()
 
-    def test_a_configuration_that_cannot_be_read_now_is_taken_up_later(self):
+    def test_a_configuration_that_cannot_be_read_is_read_again_later(self):
         forwarder = self.start(environment={"FAULT_FOLDER": str(self.folder)})
         other = self.new_stand_in(type(self.discovery))
         other.revision = 7
@@ -45,7 +45,7 @@
             lambda: any("to=draining" in line for line in forwarder.log),
         )
 
-    def test_an_exit_says_why_and_has_a_status_of_its_own(self):
+    def test_an_exit_logs_its_reason_and_has_a_distinct_status(self):
         """The numbers are those of sysexits.h."""
         for name, change, status in (
             ("bad file", lambda config: config.pop("settings"), 78),
--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -30,7 +30,7 @@
 CLIENTS = 4
 # While a restart excuses late notifications nothing is seen of them, so most schedules
 # have few. One of these counts is drawn for each schedule.
-MOST_INTERRUPTIONS = (0, 1, 1, 2, 100)
+INTERRUPTION_LIMITS = (0, 1, 1, 2, 100)
 INTERRUPTIONS = (
     "act_kill",
     "act_kill_behind_ok",
@@ -55,12 +55,12 @@
 
 
 class Soak(Verdict):
-    def __init__(self, seed, given):
+    def __init__(self, seed, arguments):
         super().__init__(seed)
-        self.keep = given.keep
-        self.unasked_answers = given.unasked_answers
-        self.post_share = given.post_share
-        self.interruptions_left = self.random.choice(MOST_INTERRUPTIONS)
+        self.keep = arguments.keep
+        self.unasked_answers = arguments.unasked_answers
+        self.post_share = arguments.post_share
+        self.interruptions_left = self.random.choice(INTERRUPTION_LIMITS)
 
     def runTest(self):
         try:
@@ -83,7 +83,7 @@
             while time.monotonic() < end:
                 time.sleep(self.random.random() * 0.4)
                 getattr(self, self.draw_action())()
-            self.calm()
+            self.stop_all_faults()
         finally:
             self.stopping.set()
             for client in clients:
@@ -103,7 +103,7 @@
         self.interruptions_left -= name in INTERRUPTIONS
         return name
 
-    def calm(self):
+    def stop_all_faults(self):
         """All faults are over, and one process serves."""
         for timer in self.timers:
             timer.cancel()
@@ -131,22 +131,22 @@
                 out.writelines(line + "\n" for line in forwarder.log)
 
 
-def play(seed, given):
+def play(seed, arguments):
     """Whether the schedule held, and what to say of it."""
     text = io.StringIO()
-    soak = Soak(seed, given)
-    held = unittest.TextTestRunner(stream=text).run(soak).wasSuccessful()
-    told = ("accepted", "late ")
-    summary = [line for _, line in soak.events if line.startswith(told)]
-    return held, " ".join(summary + ([] if held else [text.getvalue()]))
+    soak = Soak(seed, arguments)
+    passed = unittest.TextTestRunner(stream=text).run(soak).wasSuccessful()
+    prefixes = ("accepted", "late ")
+    summary = [line for _, line in soak.events if line.startswith(prefixes)]
+    return passed, " ".join(summary + ([] if passed else [text.getvalue()]))
 
 
-def play_in_process(seed, given):
-    command = [sys.executable, __file__, "--play", str(seed), "--keep", given.keep]
-    if given.unasked_answers:
+def play_in_process(seed, arguments):
+    command = [sys.executable, __file__, "--play", str(seed), "--keep", arguments.keep]
+    if arguments.unasked_answers:
         command.append("--unasked-answers")
-    if given.post_share is not None:
-        command += ["--post-share", "%s:%s" % given.post_share]
+    if arguments.post_share is not None:
+        command += ["--post-share", "%s:%s" % arguments.post_share]
     done = subprocess.run(command, capture_output=True, text=True)
     return seed, done.returncode == 0, done.stdout + done.stderr
 
@@ -164,7 +164,7 @@
     return sorted(set(names)) or ["before the judgement"]
 
 
-def counted(text):
+def parse_counts(text):
     """What a schedule's summary counts."""
     found = re.findall(r"\b(accepted|notified|open|late) (\d+)\b", text)
     return {name: int(count) for name, count in found}
@@ -190,27 +190,30 @@
         help="a share of all posts, drawn post by post, meets a fault: %s"
         % ", ".join(PostShare.FAULTS),
     )
-    given = parser.parse_args()
-    if given.play is not None:
-        held, text = play(given.play, given)
+    arguments = parser.parse_args()
+    if arguments.play is not None:
+        passed, text = play(arguments.play, arguments)
         print(text)
-        return 0 if held else 1
+        return 0 if passed else 1
     failed = []
     judgements = collections.Counter()
     totals = collections.Counter()
-    with concurrent.futures.ThreadPoolExecutor(given.jobs) as pool:
-        seeds = range(given.first, given.first + given.seeds)
-        for seed, held, text in pool.map(
-            lambda seed: play_in_process(seed, given), seeds
+    with concurrent.futures.ThreadPoolExecutor(arguments.jobs) as pool:
+        seeds = range(arguments.first, arguments.first + arguments.seeds)
+        for seed, passed, text in pool.map(
+            lambda seed: play_in_process(seed, arguments), seeds
         ):
-            print("seed %d %s %s" % (seed, "held" if held else "FAILED", text.strip()))
+            print(
+                "seed %d %s %s" % (seed, "held" if passed else "FAILED", text.strip())
+            )
             sys.stdout.flush()
-            totals.update(counted(text))
-            if not held:
+            totals.update(parse_counts(text))
+            if not passed:
                 failed.append(seed)
                 judgements.update(failed_judgements(text))
     print(
-        "%d of %d held; failed: %s" % (given.seeds - len(failed), given.seeds, failed)
+        "%d of %d held; failed: %s"
+        % (arguments.seeds - len(failed), arguments.seeds, failed)
     )
     print("in all: " + ", ".join("%s %d" % item for item in totals.items()))
     for name, count in sorted(judgements.items()):
--- a/tests/faults/soak_actions.py
+++ b/tests/faults/soak_actions.py
@@ -11,8 +11,8 @@
 from soak_stage import Stage
 
 KILL_AFTER_S = 3.7  # behind SIGTERM, at the earliest
-HOLD_UPS_S = (0.05, 0.1, 0.15)  # a machine may hold a process up for so long
-LONG_HOLD_S = 1.5  # that a successor may begin in
+SHORT_PAUSES_S = (0.05, 0.1, 0.15)  # a machine may hold a process up for so long
+LONG_PAUSE_S = 1.5  # that a successor may begin in
 OUTAGE_S = (0.8, 3.5)  # of all endpoints
 WAIT_S = (0.5, 3.0)  # that endpoints ask for
 AGENT_FAULT_S = (0.5, 2.5)
@@ -102,7 +102,7 @@
         self.hand_over(time.monotonic())
 
     def act_hold_up(self):
-        seconds = self.random.choice(HOLD_UPS_S)
+        seconds = self.random.choice(SHORT_PAUSES_S)
         self.note("held up", seconds)
         self.current.send_signal(signal.SIGSTOP)
         time.sleep(seconds)
@@ -115,9 +115,9 @@
         self.current.send_signal(signal.SIGSTOP)
         if self.random.random() < 0.5:
             self.act_start_beside()
-        time.sleep(LONG_HOLD_S)
+        time.sleep(LONG_PAUSE_S)
         self.current.send_signal(signal.SIGCONT)
-        self.long_holds.append((began, time.monotonic()))
+        self.long_pauses.append((began, time.monotonic()))
         self.note("SIGCONT")
 
     def act_reload(self):
@@ -217,7 +217,7 @@
 
     def act_operators(self):
         name = "c"
-        entering = name not in self.out
+        entering = name not in self.excluded
         path = "/maintenance/%s?id=%s" % ("enter" if entering else "exit", name)
         asked_at = time.monotonic()
         try:
@@ -226,9 +226,9 @@
             status = str(error)
         self.note("operator", path, status)
         if entering and status == 200:
-            self.out[name] = time.monotonic()
+            self.excluded[name] = time.monotonic()
         elif not entering:  # back, or nobody knows
-            self.drain_spans.append((name, self.out.pop(name), asked_at))
+            self.drain_spans.append((name, self.excluded.pop(name), asked_at))
 
     def act_crowd(self):
         self.note("crowd")
--- a/tests/faults/soak_agent.py
+++ b/tests/faults/soak_agent.py
@@ -39,37 +39,39 @@
 DELAYS_S = {Fault.SLOW: SLOW_S, Fault.VERY_SLOW: VERY_SLOW_S}
 
 
-def into_period(now):
+def time_in_period(now):
     return now % UNREAD_PERIOD_S
 
 
 def sleep_to_unread_window():
-    time.sleep(UNREAD_PERIOD_S - into_period(time.monotonic()))
+    time.sleep(UNREAD_PERIOD_S - time_in_period(time.monotonic()))
 
 
 class FaultSpan:
     """One fault that is over at `end`."""
 
-    def __init__(self, fault, seconds, delays, windows=False):
+    def __init__(self, fault, seconds, rng, only_in_windows=False):
         self.fault = fault
         self.begin = time.monotonic()
         self.end = self.begin + seconds
-        self.delays = delays
-        self.windows = windows  # there is a fault only in the unread windows
+        self.rng = rng
+        self.only_in_windows = (
+            only_in_windows  # there is a fault only in the unread windows
+        )
         self.rejected = None  # the id, from the first post on
 
     def active(self):
         now = time.monotonic()
         if now >= self.end:
             return False
-        if not self.windows:
+        if not self.only_in_windows:
             return True
         # One window has one fault alone, so that these do not add up.
-        window_begin = now - into_period(now)
-        return self.begin <= window_begin and into_period(now) < UNREAD_WINDOW_S
+        window_begin = now - time_in_period(now)
+        return self.begin <= window_begin and time_in_period(now) < UNREAD_WINDOW_S
 
     def delay(self):
-        return self.delays.uniform(*DELAYS_S[self.fault])
+        return self.rng.uniform(*DELAYS_S[self.fault])
 
 
 class PostShare:
@@ -85,12 +87,12 @@
     def __init__(self, name, share, seed):
         self.fault = self.FAULTS[name]
         self.share = share
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.lock = threading.Lock()
 
     def draw(self):
         with self.lock:
-            return self.chance.random() < self.share
+            return self.rng.random() < self.share
 
 
 class SoakAgentHandler(agent.AgentHandler):
@@ -159,8 +161,10 @@
         return span if span is not None and span.active() else None
 
     def begin_post_fault(self, fault, seconds, seed):
-        windows = fault in UNREAD_FAULTS
-        self.post_fault = FaultSpan(fault, seconds, random.Random(seed), windows)
+        only_in_windows = fault in UNREAD_FAULTS
+        self.post_fault = FaultSpan(
+            fault, seconds, random.Random(seed), only_in_windows
+        )
 
     def begin_list_fault(self, fault, seconds, seed):
         self.list_fault = FaultSpan(fault, seconds, random.Random(seed))
@@ -212,7 +216,7 @@
 
     def refuse_connections(self):
         """In an unread window connections are refused; the open ones are cut."""
-        if self.post_fault is not None and self.post_fault.windows:
+        if self.post_fault is not None and self.post_fault.only_in_windows:
             self.post_fault = None
         sleep_to_unread_window()
         self.shutdown()
--- a/tests/faults/soak_endpoint.py
+++ b/tests/faults/soak_endpoint.py
@@ -18,14 +18,14 @@
 
 class Mode(enum.Enum):
     TAKE = "take"
-    TURN_AWAY = "turn away"  # 503
+    REJECT = "turn away"  # 503
     WAIT = "ask to wait"  # 429, until it opens
     HANG = "never answer"
     ABOUT_DEADLINE = "answer about the deadline"
     HANG_IN_LINE = "hang in the first line"
     HANG_IN_HEADERS = "hang behind the first line"
     CUT_LINE = "cut the first line"
-    OVER = "410"
+    GONE = "410"
     UNASKED = "a second answer unasked for"
 
 
@@ -36,12 +36,12 @@
         message = self.headers["X-Correlation-Id"]
         mode = endpoint.mode
         endpoint.arrivals.append((time.monotonic(), message, mode))
-        if mode == Mode.TURN_AWAY:
+        if mode == Mode.REJECT:
             return self.reply(503)
         if mode == Mode.WAIT and time.monotonic() < endpoint.opens_at:
             return self.ask_to_wait()
-        if mode == Mode.OVER:
-            endpoint.over.add(message)
+        if mode == Mode.GONE:
+            endpoint.gone.add(message)
             return self.reply(410)
         if mode == Mode.HANG:
             return None
@@ -66,13 +66,13 @@
         self.wfile.write(FIRST_LINE if mode == Mode.HANG_IN_HEADERS else OK)
         self.server.answered.append((time.monotonic(), message))
         if mode == Mode.UNASKED:
-            time.sleep(self.server.chance.uniform(*UNASKED_AFTER_S))
+            time.sleep(self.server.rng.uniform(*UNASKED_AFTER_S))
             self.wfile.write(OK)
         return None
 
     def wait_for_deadline(self):
         left_ms = int(self.headers["X-Time-Left-Ms"] or DEFAULT_LEFT_MS)
-        early_or_late = self.server.chance.uniform(*ABOUT_DEADLINE_S)
+        early_or_late = self.server.rng.uniform(*ABOUT_DEADLINE_S)
         time.sleep(max(0, left_ms / 1000 + early_or_late))
 
 
@@ -85,7 +85,7 @@
         self.mode = Mode.TAKE
         self.arrivals = []  # when, message, and how it is answered
         self.answered = []  # when the first line with 200 was written, message
-        self.over = set()  # messages that were answered with 410
+        self.gone = set()  # messages that were answered with 410
         self.opens_at = 0.0  # in mode WAIT
         self.waits = []  # that were told
-        self.chance = random.Random()
+        self.rng = random.Random()
--- a/tests/faults/soak_judge.py
+++ b/tests/faults/soak_judge.py
@@ -82,29 +82,31 @@
     return due
 
 
-def notification_due(deadline, excused_spans, long_holds):
+def notification_due(deadline, excused_spans, long_pauses):
     """When the notification is overdue. The spans are merged ones. The limit's clock
     stands still while the process is held for longer than a machine would do it."""
     due = due_after_restarts(deadline, excused_spans)
-    for begin, end in long_holds:
+    for begin, end in long_pauses:
         clock_starts = due - NOTIFICATION_LIMIT_S
         if begin < due and clock_starts < end:
             due += end - max(begin, clock_starts)
     return due
 
 
-def late_messages(messages, answered_at, read_at, excused_spans, long_holds, heartbeat):
+def late_messages(
+    messages, answered_at, read_at, excused_spans, long_pauses, heartbeat
+):
     """Messages with neither a delivery nor a notification in time, with what was seen:
     by how much each notification was late, None if none was read."""
     spans = merge(excused_spans)
-    holds = merge(long_holds)
+    pauses = merge(long_pauses)
     late = []
     for message in messages:
         if not message.client_waited():
             continue
         if message.is_delivered(answered_at.get(message.name)):
             continue
-        due = notification_due(message.deadline, spans, holds)
+        due = notification_due(message.deadline, spans, pauses)
         read = read_at.get(message.name)
         if read is not None and read <= due:
             continue
--- a/tests/faults/soak_scheduling.py
+++ b/tests/faults/soak_scheduling.py
@@ -7,7 +7,7 @@
 import threading
 
 SAMPLE_S = 0.03
-WORTH_TELLING_S = 0.03
+LOG_THRESHOLD_S = 0.03
 
 
 def read_waits(pid):
@@ -24,9 +24,9 @@
 class ProcessorWaits:
     """Calls `tell` for each wait of the process that `pid` returns."""
 
-    def __init__(self, pid, tell):
+    def __init__(self, pid, log):
         self.pid = pid
-        self.tell = tell
+        self.log = log
         self.stopping = threading.Event()
         self.thread = threading.Thread(target=self.run, daemon=True)
         self.thread.start()
@@ -37,8 +37,8 @@
             pid = self.pid()
             now = {} if pid is None else read_waits(pid)
             waits = [now[thread] - before.get(thread, now[thread]) for thread in now]
-            if max(waits, default=0) >= WORTH_TELLING_S:
-                self.tell("a thread waited %.3f s for a processor" % max(waits))
+            if max(waits, default=0) >= LOG_THRESHOLD_S:
+                self.log("a thread waited %.3f s for a processor" % max(waits))
             before = now
 
     def stop(self):
--- a/tests/faults/soak_stage.py
+++ b/tests/faults/soak_stage.py
@@ -44,10 +44,10 @@
         self.processes = []
         self.current = None
         self.successor = None
-        self.out = {}  # endpoints that operators took out, and since when
+        self.excluded = {}  # endpoints that operators took out, and since when
         self.drain_spans = []  # name, begin, end
         self.excused_spans = []  # in which no notification is overdue
-        self.long_holds = []  # in which the time does not count
+        self.long_pauses = []  # in which the time does not count
         self.restart_began = None
         self.timers = []
         self.heartbeat = soak_judge.Heartbeat()
@@ -63,8 +63,8 @@
         self.discovery = self.new_stand_in(SoakAgent)
         if self.post_share is not None:
             name, share = self.post_share
-            chance = self.random.random()
-            self.discovery.post_share = PostShare(name, share, chance)
+            seed = self.random.random()
+            self.discovery.post_share = PostShare(name, share, seed)
         self.addCleanup(self.discovery.release.set)
         self.discovery.revision = revision
         self.discovery.members = self.members()
@@ -92,12 +92,12 @@
         self.note("started", forwarder.process.pid)
         return forwarder
 
-    def put_one(self, client, chance):
+    def put_one(self, client, rng):
         """One message on an open connection; its reply."""
-        name = ONCE if chance.random() < 0.5 else REPEATABLE
-        left_ms = chance.choice(LEFT_MS)
+        name = ONCE if rng.random() < 0.5 else REPEATABLE
+        left_ms = rng.choice(LEFT_MS)
         fields = "c=%s,t=acme" % name
-        body = "x" * chance.choice((10, 900, 900, 20000))
+        body = "x" * rng.choice((10, 900, 900, 20000))
         sent_at = time.monotonic()
         message, reply = client.put(
             rig.DESTINATION, body, left_ms=left_ms, fields=fields
@@ -112,7 +112,7 @@
         return reply
 
     def run_client(self, seed):
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         while not self.stopping.is_set():
             try:
                 client = rig.toy_server.Client(self.listen, timeout=3)
@@ -120,8 +120,8 @@
                 time.sleep(0.02)
                 continue
             try:
-                while not self.stopping.is_set() and self.put_one(client, chance):
-                    time.sleep(chance.random() * 0.04)
+                while not self.stopping.is_set() and self.put_one(client, rng):
+                    time.sleep(rng.random() * 0.04)
             except OSError:
                 pass
             finally:
--- a/tests/faults/soak_verdict.py
+++ b/tests/faults/soak_verdict.py
@@ -9,7 +9,7 @@
 from soak_actions import SIGNALS_TO_END, Actions
 
 DRAIN_GRACE_S = 1.5
-HOLD_UP_S = 0.15  # of a forwarder between its clock and its write, by the page
+MAX_PAUSE_S = 0.15  # of a forwarder between its clock and its write, by the page
 SETTLE_S = 4  # behind the last deadline
 HISTORIES = 10  # at most, of each kind
 FAILED_JUDGEMENT = "FAILED JUDGEMENT"
@@ -81,7 +81,7 @@
 
     def judge_lost(self, open_ids):
         for message in sorted(open_ids)[:HISTORIES]:
-            self.tell_history(self.accepted[message])
+            self.note_history(self.accepted[message])
         self.assertEqual(open_ids, set(), "lost")
 
     def judge_time(self):
@@ -90,7 +90,7 @@
             self.answered_at(),
             self.read_at(),
             self.excused_spans,
-            self.long_holds,
+            self.long_pauses,
             self.heartbeat,
         )
         self.note("late", len(late))
@@ -101,10 +101,10 @@
                 % (message.name, due - self.began, seen, allowed)
             )
         for message, *_ in late[:HISTORIES]:
-            self.tell_history(message)
+            self.note_history(message)
         self.assertEqual([x[0].name for x in late], [], "late")
 
-    def tell_history(self, message):
+    def note_history(self, message):
         """What was seen of one message, into the timeline."""
         name = message.name
         seen = [
@@ -155,7 +155,7 @@
             if message in self.once and at > deferred_at.get(message, at)
         }
         for message in sorted(called)[:HISTORIES]:
-            self.tell_history(self.accepted[message])
+            self.note_history(self.accepted[message])
         self.assertEqual(called, set(), "called after a deferral")
 
     def judge_statuses(self):
@@ -168,7 +168,9 @@
 
     def judge_drains(self):
         now = time.monotonic()
-        spans = self.drain_spans + [(n, begin, now) for n, begin in self.out.items()]
+        spans = self.drain_spans + [
+            (n, begin, now) for n, begin in self.excluded.items()
+        ]
         for name, begin, end in spans:
             late = [
                 "%.2f" % (at - begin)
@@ -184,7 +186,7 @@
         waits = [wait for e in self.endpoints.values() for wait in list(e.waits)]
         broken = [
             "%.3f, told at %.3f until %.3f"
-            % tuple(x - self.began for x in (at, wait.told_at, wait.until))
+            % tuple(x - self.began for x in (at, wait.requested_at, wait.until))
             for at, wait in calls_in_waits(arrivals, waits)
             if not self.is_excused(at, wait)
         ]
@@ -193,9 +195,9 @@
 
     def is_excused(self, at, wait):
         """Whether a machine that held the forwarder or the endpoint up explains it."""
-        for begin, end in [*self.long_holds, (wait.told_at, wait.told_at)]:
-            late = HOLD_UP_S + self.heartbeat.worst(begin, at + soak_judge.AROUND_S)
-            if wait.told_at <= end and at <= end + WAIT_SLACK_S + late:
+        for begin, end in [*self.long_pauses, (wait.requested_at, wait.requested_at)]:
+            late = MAX_PAUSE_S + self.heartbeat.worst(begin, at + soak_judge.AROUND_S)
+            if wait.requested_at <= end and at <= end + WAIT_SLACK_S + late:
                 return True
         return False
 
--- a/tests/faults/state_test.py
+++ b/tests/faults/state_test.py
@@ -15,18 +15,18 @@
 
 
 class StateTest(FaultTest):
-    def owe(self, count=3, **options):
+    def accept_undelivered(self, count=3, **options):
         """Accepted messages that a killed process left, none of which has run."""
         self.set_mode(Endpoint.REJECT)
         forwarder = self.start()
-        owed = [self.put_accepted(**options) for _ in range(count)]
+        undelivered = [self.put_accepted(**options) for _ in range(count)]
         forwarder.end()
         self.set_mode(Endpoint.TAKE)
-        return owed
+        return undelivered
 
 
 class FolderTest(StateTest):
-    def test_owed_messages_survive_a_start_at_which_the_folder_fails(self):
+    def test_undelivered_messages_survive_a_start_while_the_folder_fails(self):
         for call, error in (
             ("open", "EIO"),
             ("open", "EMFILE"),
@@ -35,12 +35,12 @@
         ):
             for skip in (0, 1, 2, 5):
                 with self.subTest(call=call, error=error, skip=skip):
-                    owed = self.owe()
+                    undelivered = self.accept_undelivered()
                     self.faults.fail(call, error, skip=skip)
                     forwarder = self.start()
                     self.put()
                     self.faults.end()
-                    for message in owed:
+                    for message in undelivered:
                         wait_for("the call", lambda: self.calls_of(message))
                     self.put_accepted()  # the folder is in use again
                     self.assert_all_end()
@@ -59,19 +59,19 @@
                     self.assert_all_end()
                     forwarder.end()
 
-    def test_a_torn_tail_is_cut_and_kept_beside_the_spool(self):
-        owed = self.owe()
+    def test_a_torn_tail_is_cut_off_and_saved_in_another_file(self):
+        undelivered = self.accept_undelivered()
         with open(self.state / "spool", "ab") as spool:
             spool.write(b"\x20\x00\x00\x00torn")
         self.start()
-        for message in owed:
+        for message in undelivered:
             wait_for("the call", lambda: self.calls_of(message))
         self.assertIn(b"torn", (self.state / "spool.cut").read_bytes())
 
-    def test_a_flipped_bit_costs_one_message_at_most(self):
+    def test_a_flipped_bit_loses_at_most_one_message(self):
         for quarter in (1, 2, 3):
             with self.subTest(quarter=quarter):
-                owed = self.owe(8)
+                undelivered = self.accept_undelivered(8)
                 path = self.state / "spool"
                 stored = bytearray(path.read_bytes())
                 stored[len(stored) * quarter // 4] ^= 1
@@ -82,7 +82,8 @@
                     lambda: any("spool damaged" in line for line in forwarder.log),
                 )
                 wait_for(
-                    "all but one to end", lambda: sum(map(self.is_over, owed)) >= 7
+                    "all but one to end",
+                    lambda: sum(map(self.is_over, undelivered)) >= 7,
                 )
                 forwarder.end(signal.SIGTERM)
                 self.accepted.clear()
@@ -94,12 +95,12 @@
 
     # Guards against an accepted message without an end: its record was intact when the
     # file was read, and is not when the message is restored.
-    def test_a_record_that_changes_behind_the_read_ends_with_a_notice(self):
+    def test_a_record_that_changes_after_the_read_ends_with_a_notice(self):
         self.config["admin"] = rig.free_address()  # its file is opened behind the read
         path = self.state / "spool"
         for opens in range(20):
-            others = self.owe()
-            (message,) = self.owe(1, body="before")
+            others = self.accept_undelivered()
+            (message,) = self.accept_undelivered(1, body="before")
             held = self.faults.fail("open", rig.HOLD_BEFORE, skip=opens)
             forwarder = self.launch()
             wait_for("a held open", lambda: self.faults.hits(held) > 0)
@@ -126,7 +127,7 @@
         self.assertFalse(any("spool differs" in line for line in second.log))
         self.assertFalse(any("spool damaged" in line for line in second.log))
 
-    def test_a_file_that_is_no_spool_is_kept_aside(self):
+    def test_a_file_that_is_not_a_spool_is_saved_in_another_file(self):
         (self.state / "spool").write_bytes(b"something else of the operators'")
         self.start()
         self.put_accepted()
@@ -161,7 +162,7 @@
                 self.assertEqual(len(self.calls_of(message)), calls)
                 second.end()
 
-    def test_a_full_disk_rejects_and_is_left_behind(self):
+    def test_messages_are_rejected_while_the_disk_fails_and_accepted_again_later(self):
         for call, error in (("pwrite", "ENOSPC"), ("rename", "EIO"), ("open", "EIO")):
             with self.subTest(call=call, error=error):
                 forwarder = self.start()
@@ -178,10 +179,10 @@
     def test_short_transfers_are_completed(self):
         for call in ("pread", "pwrite"):
             with self.subTest(call):
-                owed = self.owe()
+                undelivered = self.accept_undelivered()
                 self.faults.fail(call, rig.SHORT, bytes_moved=3)
                 forwarder = self.start()
-                for message in owed:
+                for message in undelivered:
                     wait_for("the call", lambda: self.calls_of(message))
                 self.put_accepted()
                 self.assert_all_end()
@@ -212,14 +213,14 @@
 class ClockTest(StateTest):
     CLASS = {"dedup-window": 1_000_000_000}  # ns
 
-    def test_owed_messages_outlive_a_step_of_the_wall_clock(self):
+    def test_undelivered_messages_survive_a_step_of_the_wall_clock(self):
         for step in (2, -2, 3600, -3600):
             with self.subTest(step):
                 self.faults.step_clock(0)
-                owed = self.owe(left_ms=20000)
+                undelivered = self.accept_undelivered(left_ms=20000)
                 self.faults.step_clock(step)
                 forwarder = self.start()
-                for message in owed:
+                for message in undelivered:
                     wait_for("the call", lambda: self.calls_of(message))
                     self.assertEqual(self.notices_of(message), [])
                 forwarder.end()
@@ -241,7 +242,7 @@
                     self.assertEqual(self.notices_of(message), [])
                 forwarder.end()
 
-    def test_a_step_does_not_reopen_the_window_of_repeats(self):
+    def test_a_step_does_not_reopen_the_dedup_window(self):
         """An attempt that may have run is not repeated once its key is forgotten,
         however the wall clock was stepped meanwhile."""
         for step in (-2, -3600):
--- a/tests/faults/unasked_answer_test.py
+++ b/tests/faults/unasked_answer_test.py
@@ -57,7 +57,7 @@
 
     # Guards against an answer that nobody asked for ending a call that was sent before
     # it came.
-    def test_a_true_answer_behind_a_second_one_is_seen(self):
+    def test_the_real_answer_after_an_unsolicited_one_is_read(self):
         message, connection = self.await_second_call()
         rule = self.faults.fail("recv", HOLD_AFTER)
         connection.sendall(OK)
@@ -69,7 +69,7 @@
         self.assert_final(message)
 
     # Guards against the same where both are read at once.
-    def test_a_true_answer_together_with_a_second_one_is_seen(self):
+    def test_the_real_answer_together_with_an_unsolicited_one_is_read(self):
         message, connection = self.await_second_call()
         connection.sendall(OK + BUSY)
         self.assert_final(message)
--- a/tests/integration/forwarder_test.py
+++ b/tests/integration/forwarder_test.py
@@ -131,10 +131,10 @@
 
     def dead_address(self):
         """An address on which nothing listens, kept from others by a bound socket."""
-        held = socket.socket()
-        self.addCleanup(held.close)
-        held.bind(("127.0.0.1", 0))
-        return "127.0.0.1:%d" % held.getsockname()[1]
+        reserved = socket.socket()
+        self.addCleanup(reserved.close)
+        reserved.bind(("127.0.0.1", 0))
+        return "127.0.0.1:%d" % reserved.getsockname()[1]
 
     # ---- delivery ----
 
@@ -161,7 +161,7 @@
             self.wait_for("all", lambda: len(self.toy.calls) >= len(sent))
         self.assertEqual({c["id"]: c["body"] for c in self.toy.calls}, sent)
 
-    def test_a_message_that_was_turned_away_is_sent_again(self):
+    def test_a_rejected_message_is_retried(self):
         self.toy.answer = (
             lambda call: (200, {})
             if len(self.toy.calls) > 1
@@ -184,19 +184,21 @@
 
     # ---- spoilt answers ----
 
-    def test_a_spoilt_answer_is_a_failure_whatever_its_status(self):
-        spoilt = [
+    def test_a_malformed_answer_is_a_failure_whatever_its_status(self):
+        malformed = [
             b"\x00\xffnoise\r\n\r\n",
             b"HTTP/1.1 410 Gone\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 100_000,
             b"HTTP/1.1 429 Full\r\nWait-Ms: 3600000\r\nno colon\r\n\r\n",
         ]
-        self.toy.answer = lambda call: (spoilt + [(200, {})])[len(self.toy.calls) - 1]
+        self.toy.answer = lambda call: (malformed + [(200, {})])[
+            len(self.toy.calls) - 1
+        ]
         message, _ = self.start().client().put(1, "x")
         self.wait_for("a good answer", lambda: len(self.calls_of(message)) == 4)
         self.wait_for("the end", lambda: "0 owed" in self.spool())
         self.assertEqual(self.notices_of(message), [])
 
-    def test_a_first_line_with_200_is_true_and_what_comes_behind_an_answer_harmless(
+    def test_a_first_line_with_200_is_a_delivery_and_later_bytes_are_harmless(
         self,
     ):
         for answer in (
@@ -221,10 +223,12 @@
 
     # ---- refusal ----
 
-    def test_what_cannot_be_delivered_in_time_ends_with_a_notice_until_heard(self):
+    def test_an_undelivered_message_ends_with_a_notice_until_confirmed(self):
         self.toy.refused_notices = 2
-        gone = [member(self.toy, "gone", 1, "single", address=self.dead_address())]
-        forwarder = self.start(members=gone)
+        unreachable = [
+            member(self.toy, "gone", 1, "single", address=self.dead_address())
+        ]
+        forwarder = self.start(members=unreachable)
         message, answer = forwarder.client().put(1, "x", left_ms=300)
         self.assertEqual(answer, "+OK")
         self.wait_for("the notice", lambda: self.notices_of(message))
@@ -243,15 +247,17 @@
             check=True,
         ).stdout
 
-    def test_more_than_it_may_hold_is_turned_away_with_a_time(self):
-        gone = [member(self.toy, "gone", 1, "single", address=self.dead_address())]
-        client = self.start(members=gone, **{"open-cap": 3}).client()
+    def test_messages_beyond_the_open_cap_are_rejected_with_a_wait(self):
+        unreachable = [
+            member(self.toy, "gone", 1, "single", address=self.dead_address())
+        ]
+        client = self.start(members=unreachable, **{"open-cap": 3}).client()
         answers = [client.put(1, "x")[1] for _ in range(10)]
         busy = [a for a in answers if a.startswith("-BUSY ")]
         self.assertEqual(len(busy) + answers.count("+OK"), 10)
         self.assertGreaterEqual(len(busy), 7)
 
-    def test_without_a_usable_folder_messages_are_turned_away(self):
+    def test_without_a_usable_folder_messages_are_rejected(self):
         (pathlib.Path(self.folder) / "spool").mkdir()
         client = self.start().client()
         self.assertEqual(client.call("PING"), "+PONG")
@@ -273,15 +279,15 @@
             self.assertTrue(client.call(*words).startswith("-ERR "), words)
         self.assertEqual(client.put(1, "x" * 65536)[1], "+OK")
 
-    def test_what_no_list_names_is_not_taken_on(self):
+    def test_a_message_to_an_unlisted_destination_is_rejected(self):
         client = self.start().client()
         self.assertRegex(client.put(77, "x")[1], r"^-BUSY \d+$")
         self.assertIn("0 owed", self.spool())
 
-    def test_silent_and_trickling_clients_do_not_keep_others_out(self):
+    def test_silent_and_slow_clients_do_not_block_others(self):
         forwarder = self.start()
-        rude = [forwarder.client() for _ in range(500)]
-        for client in rude[::2]:
+        slow_clients = [forwarder.client() for _ in range(500)]
+        for client in slow_clients[::2]:
             client.socket.sendall(b"*5\r\n$7\r\nMSG")
         answer, end = "-BUSY", time.monotonic() + LIMIT
         while answer.startswith("-BUSY"):  # in the very moment of such a crowd
@@ -289,7 +295,7 @@
             message, answer = forwarder.client().put(1, "x")
         self.assertEqual(answer, "+OK")
         self.wait_for("the call", lambda: self.calls_of(message))
-        for client in rude:  # each gets an error, or just the close
+        for client in slow_clients:  # each gets an error, or just the close
             self.assertRegex(client.read(), "^(-.*)?$")
 
     def test_malformed_bytes_get_an_error_and_the_close(self):
@@ -306,7 +312,7 @@
             self.assertEqual(client.read(), "", data)
         self.assertEqual(forwarder.client().call("PING"), "+PONG")
 
-    def test_a_bad_configuration_is_one_line_and_a_failure(self):
+    def test_a_bad_configuration_fails_with_one_line(self):
         for text in ("", "{", "{}", '{"name":1}', '{"name":"n","listen":"x"}'):
             path = pathlib.Path(self.folder) / "bad.json"
             path.write_text(text)
@@ -345,9 +351,9 @@
             self.assertLess(time.monotonic(), end)
             client.put(1, "x")
         before = len(self.toy.calls)
-        told = [client.put(1, "x")[0] for _ in range(20)]
+        sent_ids = [client.put(1, "x")[0] for _ in range(20)]
         with other.changed:
-            while not set(told) <= {c["id"] for c in other.calls}:
+            while not set(sent_ids) <= {c["id"] for c in other.calls}:
                 self.assertLess(time.monotonic(), end)
                 other.changed.wait(timeout=0.2)
         self.assertEqual(len(self.toy.calls), before)
@@ -375,7 +381,7 @@
         )
         return ["--sources", str(path)]
 
-    def test_a_zone_file_decides_where_it_lists_and_the_platform_elsewhere(self):
+    def test_a_zone_file_overrides_the_platform_where_it_lists_endpoints(self):
         other = self.other_toy()
         self.write_zone(1, other)
         forwarder = self.start(options=self.sources())
@@ -413,7 +419,7 @@
             client.put(1, "z")
         self.assertEqual(len(other.calls), before)
 
-    def test_kinds_that_the_configuration_does_not_have_are_told_and_left_out(self):
+    def test_kinds_missing_from_the_configuration_are_logged_and_left_out(self):
         self.write_zone(1, self.toy, kind="strange")
         forwarder = self.start(options=self.sources(", owns: false"))
         self.assertTrue(
@@ -423,7 +429,7 @@
             forwarder.client().put(1, "x")[1], "+OK"
         )  # the platform's list has it
 
-    def test_a_bad_operator_file_is_a_failure_with_its_place(self):
+    def test_a_bad_operator_file_fails_with_the_place_of_the_error(self):
         path = pathlib.Path(self.folder) / "config.json"
         path.write_text((ROOT / "examples" / "config.json").read_text())
         for more, why in (
@@ -457,10 +463,12 @@
         self.addCleanup(other.shutdown)
         return other
 
-    def test_after_sighup_lists_and_unheard_notices_go_to_the_new_address(self):
+    def test_after_sighup_lists_and_unconfirmed_notices_use_the_new_address(self):
         self.toy.refused_notices = 1 << 30  # the old address hears none
-        gone = [member(self.toy, "gone", 1, "single", address=self.dead_address())]
-        forwarder = self.start(members=gone)
+        unreachable = [
+            member(self.toy, "gone", 1, "single", address=self.dead_address())
+        ]
+        forwarder = self.start(members=unreachable)
         client = forwarder.client()
         message, answer = client.put(1, "x", left_ms=300)
         self.assertEqual(answer, "+OK")
@@ -477,9 +485,9 @@
         self.assertEqual(answer, "+OK")
         self.wait_for("the call at the listed endpoint", lambda: self.calls_of(later))
 
-    def test_a_message_whose_end_is_not_heard_in_time_is_told_with_its_history(self):
-        gone = [member(self.toy, "e", 1, "single", address=self.dead_address())]
-        forwarder = self.start(members=gone)
+    def test_a_message_whose_end_is_confirmed_late_is_logged_with_its_history(self):
+        unreachable = [member(self.toy, "e", 1, "single", address=self.dead_address())]
+        forwarder = self.start(members=unreachable)
         self.toy.refused_notices = 1 << 30
         message, answer = forwarder.client().put(1, "x", left_ms=200)
         self.assertEqual(answer, "+OK")
@@ -488,7 +496,7 @@
             "the line", lambda: any(text.startswith(line) for text in forwarder.log)
         )
 
-    def test_each_end_of_a_message_is_told_at_debug_level(self):
+    def test_each_end_of_a_message_is_logged_at_debug_level(self):
         forwarder = self.start(options=("--log-level", "debug", "--log-format", "json"))
         message, answer = forwarder.client().put(1, "x")
         self.assertEqual(answer, "+OK")
@@ -507,7 +515,7 @@
             ends()[0]["history"], r"^accepted\+0 acknowledged\+\d+ started\+\d+"
         )
 
-    def test_an_option_that_is_not_known_is_told_with_the_way_to_help(self):
+    def test_an_unknown_option_fails_and_points_to_the_help(self):
         for options in (
             ["--log-level", "loud"],
             ["--log-format", "xml"],
@@ -546,47 +554,47 @@
 
     # ---- restarts ----
 
-    def test_what_was_taken_on_outlasts_a_kill(self):
-        gone = [member(self.toy, "e", 1, "single", address=self.dead_address())]
-        first = self.start(members=gone)
+    def test_accepted_messages_survive_a_kill(self):
+        unreachable = [member(self.toy, "e", 1, "single", address=self.dead_address())]
+        first = self.start(members=unreachable)
         client = first.client()
-        taken = [client.put(1, "body %d" % i) for i in range(5)]
-        self.assertEqual({answer for _, answer in taken}, {"+OK"})
+        accepted = [client.put(1, "body %d" % i) for i in range(5)]
+        self.assertEqual({answer for _, answer in accepted}, {"+OK"})
         first.end(signal.SIGKILL)
         self.assertIn("5 owed", self.spool())
         self.start()
-        ids = {message for message, _ in taken}
+        ids = {message for message, _ in accepted}
         self.wait_for("all calls", lambda: {c["id"] for c in self.toy.calls} == ids)
         self.wait_for("the ends", lambda: "0 owed" in self.spool())
         self.assertEqual(len(self.toy.calls), 5)
 
-    def test_much_that_is_held_outlasts_new_configurations_and_restarts(self):
-        gone = [
+    def test_many_open_messages_survive_new_configurations_and_restarts(self):
+        unreachable = [
             member(self.toy, "e%d" % i, i, "single", address=self.dead_address())
             for i in range(1, 13)
         ]
-        first = self.start(members=gone)
-        taken = [
+        first = self.start(members=unreachable)
+        accepted = [
             first.client().put(dest, "x") for dest in range(1, 13) for _ in range(5)
         ]
-        self.assertEqual({answer for _, answer in taken}, {"+OK"})
+        self.assertEqual({answer for _, answer in accepted}, {"+OK"})
         first.config["discovery"] = self.other_toy().address
         first.reload(json.dumps(first.config))
         self.assertEqual(first.end(signal.SIGTERM), 0)
-        self.start(members=gone).end(signal.SIGKILL)
+        self.start(members=unreachable).end(signal.SIGKILL)
         self.start(
             members=[member(self.toy, "e%d" % i, i, "single") for i in range(1, 13)]
         )
         self.wait_for("the ends", lambda: "\n0 owed" in "\n" + self.spool())
         # A slow machine may see a call repeated, with its key; none is left out.
         self.assertEqual(
-            {c["id"] for c in self.toy.calls}, {message for message, _ in taken}
+            {c["id"] for c in self.toy.calls}, {message for message, _ in accepted}
         )
         self.assertEqual(self.toy.notices, [])
 
-    def test_a_message_whose_time_ran_out_meanwhile_is_ended_at_once(self):
-        gone = [member(self.toy, "e", 1, "single", address=self.dead_address())]
-        first = self.start(members=gone)
+    def test_a_message_that_expired_between_processes_ends_at_once(self):
+        unreachable = [member(self.toy, "e", 1, "single", address=self.dead_address())]
+        first = self.start(members=unreachable)
         message, _ = first.client().put(1, "x", left_ms=1500)
         first.end(signal.SIGKILL)
         time.sleep(1.6)
@@ -595,8 +603,8 @@
         self.assertEqual(self.toy.calls, [])
 
     def test_a_torn_tail_is_cut_off_and_the_rest_is_kept(self):
-        gone = [member(self.toy, "e", 1, "single", address=self.dead_address())]
-        first = self.start(members=gone)
+        unreachable = [member(self.toy, "e", 1, "single", address=self.dead_address())]
+        first = self.start(members=unreachable)
         message, _ = first.client().put(1, "x")
         first.end(signal.SIGKILL)
         with open(pathlib.Path(self.folder) / "spool", "ab") as file:
@@ -605,10 +613,12 @@
         self.assertTrue(any("tail" in line for line in second.log))
         self.wait_for("the call", lambda: self.calls_of(message))
 
-    def test_after_sigterm_it_answers_and_delivers_and_leaves_by_itself(self):
+    def test_after_sigterm_it_answers_delivers_and_exits(self):
         # What is held for a dead endpoint keeps it from leaving at once.
-        gone = member(self.toy, "gone", 3, "single", address=self.dead_address())
-        forwarder = self.start(members=[member(self.toy, "single", 1, "single"), gone])
+        unreachable = member(self.toy, "gone", 3, "single", address=self.dead_address())
+        forwarder = self.start(
+            members=[member(self.toy, "single", 1, "single"), unreachable]
+        )
         idle = forwarder.client()
         self.assertEqual(idle.put(3, "stays")[1], "+OK")
         self.assertEqual(idle.call("PING"), "+PONG")
@@ -622,14 +632,14 @@
         self.assertEqual(forwarder.process.wait(timeout=LIMIT), 0)
         self.assertIn("1 owed", self.spool())
 
-    def test_with_nothing_owed_it_leaves_in_order(self):
+    def test_without_open_messages_it_shuts_down_cleanly(self):
         forwarder = self.start()
         self.assertEqual(forwarder.end(signal.SIGTERM), 0)
         self.assertIn("shutdown complete in_flight=0 overdue=0", forwarder.log)
 
-    def test_what_sigterm_leaves_no_time_for_stays_owed(self):
-        gone = [member(self.toy, "e", 1, "single", address=self.dead_address())]
-        forwarder = self.start(members=gone)
+    def test_messages_that_are_undelivered_at_sigterm_stay_open(self):
+        unreachable = [member(self.toy, "e", 1, "single", address=self.dead_address())]
+        forwarder = self.start(members=unreachable)
         forwarder.client().put(1, "x")
         self.assertEqual(forwarder.end(signal.SIGTERM), 0)
         self.assertIn("1 owed", self.spool())
