--- a/tests/faults/agent.py
+++ b/tests/faults/agent.py
@@ -1,7 +1,7 @@
-"""An agent of discovery whose answers to notifications the test decides.
+"""A discovery agent whose answers to notifications the test controls.
 
-Lists are served as ever; each post of notifications is passed to `on_post`, which takes
-it, holds it back, answers it with an error, or cuts it off.
+Lists are served normally. Each post of notifications is passed to `on_post`, which
+confirms it, delays it, answers it with an error or closes the connection.
 """
 
 import json
@@ -13,14 +13,14 @@
 
 
 class Post:
-    """One post of notifications, as it was read."""
+    """One post of notifications that the agent has read."""
 
     def __init__(self, number, lines, connection=None):
         self.number = number  # from 0, in the order of arrival
-        self.connection = connection  # the socket that it came by
+        self.connection = connection  # the socket on which it arrived
         self.lines = lines
         self.ids = [line["id"] for line in lines]
-        self.confirms = True  # it is answered once it was read
+        self.confirms = True  # false: it is read but never answered
         self.arrived = time.monotonic()
 
 
@@ -43,7 +43,7 @@
             for line in lines:
                 agent.first_posted.setdefault(line["id"], post.arrived)
         status = agent.on_post(post)
-        if status is None:  # not answered at all
+        if status is None:  # the connection ends without an answer
             self.close_connection = True
             return
         if isinstance(status, bytes):  # written unchanged, then the connection ends
@@ -64,7 +64,7 @@
         self.first_posted = {}  # when the agent first read a message's notification
         self.release = threading.Event()
         self.on_post = lambda post: 204
-        self.on_head = lambda: True  # false: the post's connection ends with it unread
+        self.on_head = lambda: True  # false: the connection ends with the post unread
         self.connections = []  # all that were accepted
 
     @property
@@ -76,7 +76,8 @@
         super().process_request(request, client_address)
 
     def stop_accepting(self, backlog):
-        """The listener stays open; connections come up while its queue has room."""
+        """Keeps the listener open without accepting; connections are only established
+        while its queue has room."""
         self.shutdown()
         self.socket.listen(backlog)
 
@@ -85,7 +86,7 @@
         self.start(rig.STAND_IN_POLL_S)
 
     def refuse(self):
-        """Ends all connections, and refuses new ones."""
+        """Ends all connections and refuses new ones."""
         self.shutdown()
         self.socket.close()
         self.cut_connections()
@@ -95,11 +96,11 @@
             try:
                 connection.shutdown(socket.SHUT_RDWR)
             except OSError:
-                pass  # it has ended before
+                pass  # the connection has already ended
         self.connections.clear()
 
     def listen_at(self, address):
-        """Behind `refuse`: new connections are accepted at this address."""
+        """Accepts new connections at this address; to be called after `refuse`."""
         host, port = address.split(":")
         self.socket = socket.socket()
         self.server_address = (host, int(port))
@@ -108,7 +109,7 @@
         self.start(rig.STAND_IN_POLL_S)
 
     def hold(self, post):
-        """Answers once the test releases what is held."""
+        """Confirms the post once the test sets `release`."""
         self.release.wait(timeout=rig.LIMIT)
         return 204
 
--- a/tests/faults/fault_table.py
+++ b/tests/faults/fault_table.py
@@ -1,4 +1,4 @@
-"""The table of faults that fault_shim.cpp carries out, as a test has it."""
+"""The test's side of the fault table that fault_shim.cpp carries out."""
 
 import errno
 import mmap
@@ -19,7 +19,7 @@
 
 
 class FaultTable:
-    """Rules for one process, in a file that both sides map."""
+    """Fault rules for one process, in a file mapped by the test and the process."""
 
     def __init__(self, path):
         self.path = pathlib.Path(path)
@@ -28,8 +28,8 @@
             self.memory = mmap.mmap(file.fileno(), 0)
 
     def fail(self, call, error, *, times=-1, skip=0, bytes_moved=1):
-        """Switches a rule on and returns its number. `error`: an errno or its name, or
-        one of the constants above."""
+        """Enables a rule and returns its number. `error`: an errno or its name, or one
+        of the constants above."""
         number = next(i for i in range(RULES) if not self._rule(i)[1])
         if isinstance(error, str):
             error = getattr(errno, error)
@@ -39,7 +39,7 @@
         return number
 
     def end(self, number=None):
-        """Switches one rule off, or all."""
+        """Disables one rule, or all rules."""
         for i in range(RULES) if number is None else [number]:
             struct.pack_into("=i", self.memory, self._offset(i) + 4, 0)
 
@@ -47,11 +47,11 @@
         return self._rule(number)[6]
 
     def step_clock(self, seconds):
-        """The wall clock is so many seconds ahead of the real one from now on."""
+        """Sets the offset of the process's wall clock from the real one, in seconds."""
         struct.pack_into("=q", self.memory, 0, int(seconds * 1e9))
 
     def step_monotonic_clock(self, seconds):
-        """The same for the monotonic clock, as if so much time had passed."""
+        """Sets the same offset for the monotonic clock, as if that time had passed."""
         struct.pack_into("=q", self.memory, 8, int(seconds * 1e9))
 
     def _offset(self, number):
--- a/tests/faults/load_judge.py
+++ b/tests/faults/load_judge.py
@@ -1,26 +1,27 @@
-"""Judges of an endpoint's load, from the endpoints' own records: calls in a wait
-that was asked for, and calls beyond the budget of a destination that is warming up.
+"""Checks of the load on endpoints, from the calls that the endpoints recorded.
 
-The bounds are those of the platform's rules and of the forwarder's settings.
+They find calls during a requested wait, and calls beyond the budget of a destination
+that is warming up. The bounds come from the platform's rules and the forwarder's
+settings.
 """
 
 import dataclasses
 import math
 
-WAIT_SLACK_S = 0.1  # calls that come so soon behind the answer are let through
-FEW_CALLS = 30  # budgets below it have a larger margin for chance
+WAIT_SLACK_S = 0.1  # calls that arrive this soon after the answer are allowed
+FEW_CALLS = 30  # smaller budgets get a larger margin for random variation
 
 
 @dataclasses.dataclass(frozen=True)
 class Wait:
-    """An answer that asked to wait; times are of one monotonic clock."""
+    """An answer that requested a wait; times are on the same monotonic clock."""
 
     requested_at: float
     until: float
 
 
 def calls_in_waits(arrivals, waits):
-    """The arrivals that came in a wait, each with that wait."""
+    """Returns the arrivals during a wait, each with that wait."""
     return [
         (at, wait)
         for at in arrivals
@@ -31,13 +32,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class ColdRules:
-    """What a destination takes behind its return, by the settings."""
+    """The load that the settings allow for a destination after its return."""
 
-    rate: float  # calls a second, once it is warm
-    share: float  # of the rate, at the return
+    rate: float  # calls per second once it is warm
+    share: float  # of the rate, allowed at the return
     warm_after_s: float
     window_s: float
-    multiple: float  # of the present rate, over a window
+    multiple: float  # of the current rate, allowed over a window
 
     @classmethod
     def of_settings(cls, settings, rate):
@@ -51,7 +52,8 @@
         )
 
     def budget(self, begin_s):
-        """Calls allowed in the window that begins so long behind the return."""
+        """Returns the calls allowed in the window that begins `begin_s` after the
+        return."""
         middle = begin_s + self.window_s / 2
         warmth = min(1, max(0, middle / self.warm_after_s))
         rate = self.rate * (self.share + (1 - self.share) * warmth)
@@ -61,7 +63,8 @@
 
 
 def windows_over_budget(arrivals, returned_at, rules):
-    """(seconds behind the return, calls, budget) of each window that has too many."""
+    """Returns (seconds after the return, calls, budget) of each window over its
+    budget."""
     times = sorted(at - returned_at for at in arrivals if at >= returned_at)
     found = []
     for index, begin in enumerate(times):
--- a/tests/faults/replacement_rig.py
+++ b/tests/faults/replacement_rig.py
@@ -1,5 +1,5 @@
-"""Endpoints that ask to wait and come back cold, and processes that take over from each
-other while they do."""
+"""Endpoints that request waits or return cold, and processes that replace each other
+meanwhile."""
 
 import signal
 import threading
@@ -10,14 +10,15 @@
 from rig import Endpoint, FaultTable, FaultTest, wait_for
 
 WAITING = "waiting for the state folder"
-RATE = 50.0  # calls a second that the destination takes; `size` in its list
+RATE = 50.0  # calls per second of the destination's capacity; `size` in its list
 SUBMIT_INTERVAL_S = 0.02
 SEND_LEFT_MS = 20000
 
 
 class TimedEndpoint(Endpoint):
-    """Records when calls came, and which waits it asked for. While `opens_at` lies
-    ahead it answers 429 with the time until then; in mode HOLD once it is released."""
+    """Records the arrival times of calls and the waits that it requested. Until
+    `opens_at` it answers 429 with the remaining time; in mode HOLD it does so once
+    released."""
 
     def __init__(self):
         super().__init__()
@@ -39,7 +40,7 @@
 
 
 class SteadyClient:
-    """A client that hands in messages at an even rate, on connections that it keeps."""
+    """A client that submits messages at a constant rate on persistent connections."""
 
     def __init__(self, test, interval_s=SUBMIT_INTERVAL_S):
         self.test = test
@@ -70,7 +71,8 @@
 
 
 class ReplacementTest(FaultTest):
-    """Processes that run one after another on one state folder, judged as one."""
+    """Runs processes one after another on one state folder and checks their joint
+    load."""
 
     def setUp(self):
         super().setUp()
@@ -94,7 +96,7 @@
         return process
 
     def start_successor(self):
-        """A second process that waits for the first one to end."""
+        """Starts a second process, which waits for the first one to end."""
         faults = self.own_faults()
         process = self.launch(faults=faults)
         process.faults = faults
@@ -105,13 +107,13 @@
         return process
 
     def replace(self, process, how=signal.SIGTERM):
-        """The second process, which serves once the first one has ended."""
+        """Ends the process; returns its successor once that serves."""
         successor = self.start_successor()
         process.end(how)
         self.await_serving(successor)
         return successor
 
-    # ---- trouble ----
+    # ---- endpoint faults ----
 
     def reject_until(self, opens_at):
         for endpoint in self.endpoints.values():
@@ -130,18 +132,18 @@
         )
 
     def fail_until_open(self, process):
-        """The destination fails until the process has seen the outage."""
+        """Makes the destination fail until the process has opened all its breakers."""
         self.set_mode(Endpoint.REJECT)
         self.await_log(process, "breaker open", len(self.endpoints))
 
-    # ---- judgement ----
+    # ---- checks ----
 
     def assert_waits_kept(self):
         broken = calls_in_waits(self.arrivals(), self.requested_waits())
         first = broken[:1]
-        self.assertFalse(broken, "%d calls in a wait: %s" % (len(broken), first))
+        self.assertFalse(broken, "%d calls during a wait: %s" % (len(broken), first))
 
     def assert_within_cold_budget(self, returned_at):
         over = windows_over_budget(self.arrivals(), returned_at, self.rules)
         most = max(over, key=lambda window: window[1] / window[2], default=None)
-        self.assertIsNone(most, "(seconds behind the return, calls, budget)")
+        self.assertIsNone(most, "(seconds after the return, calls, budget)")
--- a/tests/faults/rig.py
+++ b/tests/faults/rig.py
@@ -1,7 +1,7 @@
-"""A forwarder on loopback among stand-ins, whose faults the test decides.
+"""Runs a forwarder on loopback with test servers whose faults the test controls.
 
-Discovery and each endpoint are stand-ins of their own. Every wait is for a condition,
-with a limit that only a failure reaches.
+Discovery and each endpoint are separate stand-ins (test servers). Every wait is for a
+condition, with a time limit that is only reached on failure.
 """
 
 import json
@@ -41,20 +41,20 @@
 SHIM = os.environ["FAULT_SHIM"]
 LIMIT = float(os.environ.get("FAULT_LIMIT_SECONDS", "20"))
 DESTINATION = 1
-STAND_IN_POLL_S = 0.02  # between a stand-in's looks whether it is to end
+STAND_IN_POLL_S = 0.02  # interval at which a stand-in checks for shutdown
 
 
 def wait_for(what, condition):
     end = time.monotonic() + LIMIT
     while not condition():
         if time.monotonic() > end:
-            raise AssertionError("waited in vain for " + what)
+            raise AssertionError("timed out waiting for " + what)
         time.sleep(0.01)
 
 
 def free_address():
-    """An address that nobody has now. Its host is drawn from the loopback network, so
-    that no other test gets the port while nobody listens there."""
+    """Returns an address that is free now. The host is a random loopback address, so
+    that no other test takes the port while nobody listens there."""
     host = "127.%d.%d.%d" % tuple(random.SystemRandom().randint(1, 254) for _ in "abc")
     with socket.socket() as probe:
         probe.bind((host, 0))
@@ -75,7 +75,7 @@
 
 
 def admin_call(address, method, path, timeout=2):
-    """The status of one call to a forwarder's second address, and its body."""
+    """Sends a request to a forwarder's operator address; returns status and body."""
     request = urllib.request.Request("http://%s%s" % (address, path), method=method)
     try:
         with urllib.request.urlopen(request, timeout=timeout) as answer:
@@ -85,7 +85,7 @@
 
 
 class LayoutHandler(toy_server.Handler):
-    """Writes lists as the stand-in's `indent` and `chunk_bytes` say."""
+    """Writes endpoint lists in chunks of the stand-in's `chunk_bytes`."""
 
     def chunk(self, text):
         step = self.server.chunk_bytes or len(text)
@@ -94,7 +94,7 @@
 
 
 class Discovery(toy_server.Toy):
-    """A discovery whose lists may come over several lines and in any chunks."""
+    """A discovery server that can split its lists over several lines and chunks."""
 
     def __init__(self):
         super().__init__(revision=1)
@@ -108,16 +108,16 @@
 
 
 class Endpoint(toy_server.Toy):
-    """An endpoint that takes, rejects, never answers or holds what it is sent."""
+    """An endpoint that accepts, rejects, never answers or delays each call."""
 
     TAKE, REJECT, HANG, HOLD = range(4)
 
     def __init__(self):
         super().__init__()
         self.mode = self.TAKE
-        self.delivered = []  # ids, once for each call that it took
-        self.hung = []  # or held
-        self.released = threading.Event()  # what is held is taken then
+        self.delivered = []  # message ids, one entry for each accepted call
+        self.hung = []  # ids of calls that were not answered or are delayed
+        self.released = threading.Event()  # set: delayed calls (HOLD) are accepted
         self.answer = self.answer_by_mode
 
     def answer_by_mode(self, call):
@@ -134,10 +134,10 @@
 
 
 class Forwarder:
-    """One process of the program; `log` grows while its reader is there."""
+    """One process of the program; `log` collects its log lines while they are read."""
 
     def __init__(self, config_path, state, environment, options=(), stderr=None):
-        """`stderr`: a descriptor of the caller's in place of a pipe that is read."""
+        """`stderr`: a descriptor of the caller, used instead of the pipe for `log`."""
         command = [
             PROGRAM,
             "serve",
@@ -173,7 +173,7 @@
                 self.log += [line.decode(errors="replace") for line in whole]
 
     def close_log_reader(self):
-        """The reader of the log goes away: the pipe has no read end any more."""
+        """Closes the read end of the log pipe, as if the log reader had exited."""
         nowhere = os.open(os.devnull, os.O_RDONLY)
         os.dup2(nowhere, self.read_end)
         os.close(nowhere)
@@ -191,9 +191,9 @@
 
 
 class FaultTest(unittest.TestCase):
-    """A forwarder, a discovery and endpoints `a` and `b` for one destination."""
+    """Sets up a forwarder, discovery and endpoints `a` and `b` of one destination."""
 
-    CLASS = {}  # what differs from the class of examples/config.json
+    CLASS = {}  # overrides of the message class in examples/config.json
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -221,7 +221,8 @@
         return stand_in
 
     def announce_members(self, **phases):
-        """Discovery has a new list, such as `a="Terminating"`; the rest is ready."""
+        """Makes discovery send a new list. `phases` gives the phase of some endpoints,
+        such as `a="Terminating"`; the others are ready."""
         self.discovery.announce(self.members(**phases))
 
     def members(self, **phases):
@@ -239,7 +240,8 @@
         return path
 
     def launch(self, shim=True, environment=None, options=(), stderr=None, faults=None):
-        """Starts a process and does not wait for it. `faults`: a table of its own."""
+        """Starts a process without waiting for it. `faults`: the fault table to use
+        instead of the common one."""
         variables = {"NODE_ADMIN": ""}
         if shim:
             variables.update(
@@ -256,7 +258,7 @@
         return forwarder
 
     def start(self, **options):
-        """Starts a process and waits until it takes clients."""
+        """Starts a process and waits until it serves clients."""
         forwarder = self.launch(**options)
         self.await_serving(forwarder)
         return forwarder
@@ -283,7 +285,8 @@
     # ---- messages ----
 
     def put(self, body="body", **options):
-        """Hands one message in on a new connection; None if it was rejected."""
+        """Submits one message on a new connection. Returns its id, or None if it was
+        rejected."""
         try:
             client = toy_server.Client(self.listen, timeout=5)
         except OSError:
@@ -300,7 +303,7 @@
         return message
 
     def put_accepted(self, **options):
-        """Hands messages in until one is accepted."""
+        """Submits messages until one is accepted, and returns its id."""
         ids = []
 
         def accepted():
@@ -319,7 +322,8 @@
         return any(message in endpoint.hung for endpoint in self.endpoints.values())
 
     def calls_of(self, message):
-        """The endpoints that took the message, once for each time."""
+        """Returns the names of the endpoints that accepted the message, one entry for
+        each delivery."""
         return [
             name
             for name, stand_in in self.endpoints.items()
@@ -337,13 +341,13 @@
         return bool(self.calls_of(message) or self.notices_of(message))
 
     def assert_all_end(self):
-        """Every accepted message is delivered or ends with a notice."""
+        """Checks that every accepted message is delivered or ends with a notice."""
         for message in self.accepted:
             wait_for("the end of " + message, lambda: self.is_over(message))
 
     def await_none_in_flight(self):
-        """By the counters, which are exact; the gauge is set once a second. Needs the
-        second address in the configuration."""
+        """Waits until no message is in flight. Compares the counters, which are exact;
+        the gauge is only updated once a second. Needs `admin` in the configuration."""
 
         def count(metrics, name):
             series = re.compile("brassfront_" + name + r"(?:\{.*\})? (\d+)$")
@@ -353,7 +357,7 @@
         def none():
             try:
                 _, metrics = admin_call(self.config["admin"], "GET", "/metrics")
-            except OSError:  # the second address is served a little later than clients
+            except OSError:  # the operator address opens later than the client one
                 return False
             begun = count(metrics, "messages_accepted_total")
             begun += count(metrics, "messages_restored_total")
@@ -362,7 +366,8 @@
         wait_for("all messages to end", none)
 
     def settle(self, name):
-        """Waits until calls go to this endpoint, and none is under way any more."""
+        """Waits until the endpoint has received a call and all accepted messages
+        ended."""
         before = self.calls_to(name)
 
         def called():
--- a/tests/faults/state_test.py
+++ b/tests/faults/state_test.py
@@ -1,7 +1,7 @@
-"""A folder that fails for a while, a kill in each write, a wall clock that steps.
+"""State folder failures, kills during writes, and steps of the wall clock.
 
-What was accepted is still owed: it is delivered or ends with a notice, once, and
-nothing that may not be repeated runs twice.
+Every accepted message must still be delivered or end with a notice, exactly once, and a
+message that may not be repeated must not run twice.
 """
 
 import signal
@@ -11,12 +11,13 @@
 import rig
 from rig import Endpoint, FaultTest, wait_for
 
-RETRY_S = 5  # s; within which a folder that is well again is in use again
+RETRY_S = 5  # s; longest time until a recovered folder is used again
 
 
 class StateTest(FaultTest):
     def accept_undelivered(self, count=3, **options):
-        """Accepted messages that a killed process left, none of which has run."""
+        """Returns accepted messages that a killed process left; none of them has
+        run."""
         self.set_mode(Endpoint.REJECT)
         forwarder = self.start()
         undelivered = [self.put_accepted(**options) for _ in range(count)]
@@ -89,14 +90,15 @@
                 self.accepted.clear()
 
     def bodies_of(self, message):
-        """What the endpoints were sent of the message, by any process."""
+        """Returns the bodies that any process sent to the endpoints for the message."""
         calls = [call for e in self.endpoints.values() for call in list(e.calls)]
         return {call["body"] for call in calls if call["id"] == message}
 
-    # Guards against an accepted message without an end: its record was intact when the
-    # file was read, and is not when the message is restored.
+    # Guards against an accepted message that never ends: its record was intact when the
+    # file was read, but is damaged when the message is restored.
     def test_a_record_that_changes_after_the_read_ends_with_a_notice(self):
-        self.config["admin"] = rig.free_address()  # its file is opened behind the read
+        # With an operator address the exclusions file is opened after the read.
+        self.config["admin"] = rig.free_address()
         path = self.state / "spool"
         for opens in range(20):
             others = self.accept_undelivered()
@@ -113,9 +115,10 @@
             if any(again in line for line in forwarder.log):
                 break
             self.assertTrue(any("spool damaged" in line for line in forwarder.log))
-            forwarder.end()  # it was held too early: the file was not read yet
+            forwarder.end()  # held before the spool was read: try a later open
         wait_for("the notice", lambda: self.notices_of(message))
-        # An endpoint may take late, and unchanged, what the killed process had sent.
+        # An endpoint may still accept the unchanged body that the killed process had
+        # sent.
         self.assertLessEqual(self.bodies_of(message), {b"before"})
         self.assertIn(b"behind", (self.state / "spool.cut").read_bytes())
         self.put_accepted()
@@ -136,7 +139,7 @@
         self.assertIn(b"something else", kept)
 
     def test_an_end_that_could_not_be_written_is_written_later(self):
-        """Else the next process would deliver the message again."""
+        """Otherwise the next process would deliver the message again."""
         for error in ("ENOSPC", "EIO"):
             with self.subTest(error):
                 self.set_mode(Endpoint.HOLD)
@@ -153,7 +156,8 @@
                 self.faults.end()
                 self.put_accepted()
                 self.assert_all_end()
-                time.sleep(RETRY_S / 2)  # what is written later has no sign outside
+                # The delayed write cannot be observed from outside.
+                time.sleep(RETRY_S / 2)
                 forwarder.end()
                 calls = len(self.calls_of(message))
                 second = self.start()
@@ -243,8 +247,8 @@
                 forwarder.end()
 
     def test_a_step_does_not_reopen_the_dedup_window(self):
-        """An attempt that may have run is not repeated once its key is forgotten,
-        however the wall clock was stepped meanwhile."""
+        """An attempt that may have run is not repeated after its idempotency key has
+        expired, whatever step the wall clock made meanwhile."""
         for step in (-2, -3600):
             with self.subTest(step):
                 self.faults.step_clock(0)
@@ -253,7 +257,7 @@
                 message = self.put_accepted(left_ms=20000)
                 wait_for("a call", lambda: self.hangs(message))
                 forwarder.end()
-                time.sleep(1.1)  # the window itself, in real time
+                time.sleep(1.1)  # longer than the dedup window, in real time
                 self.faults.step_clock(step)
                 self.set_mode(Endpoint.TAKE)
                 forwarder = self.start()
