--- a/tests/faults/fault_shim.cpp
+++ b/tests/faults/fault_shim.cpp
@@ -1,8 +1,9 @@
-// A library for LD_PRELOAD that makes system calls of one process fail, for tests alone.
+// An LD_PRELOAD library that makes system calls of one process fail. For tests only.
 //
-// The file that $FAULT_TABLE names is mapped by the process and by the test (fault_table.py has the
-// same layout). The test switches a rule on and off and sees how often it took effect, so nothing
-// depends on time. A rule covers one call, on every descriptor or on the files below $FAULT_FOLDER.
+// The process and the test both map the file named by $FAULT_TABLE (fault_table.py has the same
+// layout). The test enables and disables rules and reads how often each took effect, so no test
+// depends on timing. A rule covers one system call. For file calls it covers only files below
+// $FAULT_FOLDER (and standard error for writes), for other calls every descriptor.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <poll.h>
@@ -59,24 +60,25 @@
   kFlock,
 };
 
-constexpr std::int32_t kShortTransfer = -1;  // in place of an errno: at most `bytes` are moved
-constexpr std::int32_t kKillBefore = -2;     // the process ends by SIGKILL in place of the call
-constexpr std::int32_t kKillAfter = -3;      // and behind the call
-constexpr std::int32_t kKillHalfway = -4;    // a write moves `bytes`, then the process ends
-constexpr std::int32_t kHoldBefore =
-    -5;                                  // the thread waits in front of the call for the rule's end
-constexpr std::int32_t kHoldAfter = -6;  // and behind the call
-constexpr std::int32_t kObserve = -7;    // the call is counted, and carried out as ever
-constexpr std::int32_t kFakeSuccess = -9;    // the call is not made, and returns success
-constexpr std::int32_t kHoldHalfway = -8;  // a write moves `bytes`, waits, and moves the rest
+// Values of Rule::error in place of an errno; fault_table.py has the same values.
+constexpr std::int32_t kShortTransfer = -1;  // the call transfers at most `bytes`
+constexpr std::int32_t kKillBefore = -2;     // SIGKILL ends the process before the call
+constexpr std::int32_t kKillAfter = -3;      // SIGKILL ends the process after the call
+constexpr std::int32_t kKillHalfway = -4;    // the call transfers `bytes`, then SIGKILL
+constexpr std::int32_t kHoldBefore = -5;     // the thread waits before the call until the rule ends
+constexpr std::int32_t kHoldAfter = -6;      // the thread waits after the call until the rule ends
+constexpr std::int32_t kObserve = -7;        // the call is counted and carried out normally
+constexpr std::int32_t kFakeSuccess = -9;    // the call is skipped and reported as successful
+// The call transfers `bytes`, waits until the rule ends, and transfers the rest.
+constexpr std::int32_t kHoldHalfway = -8;
 
 struct Rule {
   std::int32_t call;
   std::atomic<std::int32_t> active;
   std::int32_t error;  // an errno, or one of the constants above
   std::int32_t bytes;
-  std::atomic<std::int64_t> remaining;  // how often it still takes effect; negative: without end
-  std::atomic<std::int64_t> skipped;    // calls that are let through first
+  std::atomic<std::int64_t> remaining;  // times that it still takes effect; negative: unlimited
+  std::atomic<std::int64_t> skipped;    // calls that pass before it takes effect
   std::atomic<std::int64_t> hits;
 };
 
@@ -106,7 +108,7 @@
   return table;
 }
 
-// Takes one off a counter that is above 0; false if it is not.
+// Decrements a counter that is above 0. Returns false if it is not.
 bool CountDown(std::atomic<std::int64_t>& counter) {
   std::int64_t left = counter;
   while (left > 0) {
@@ -115,7 +117,7 @@
   return false;
 }
 
-// None, or the rule that takes effect on this call.
+// Returns the rule that takes effect on this call, or nullptr, and updates its counters.
 Rule* TakeRule(Call call) {
   Table* const table = GetTable();
   if (table == nullptr) return nullptr;
@@ -154,7 +156,7 @@
   while (true) pause();
 }
 
-// Until the test switches the rule off.
+// Blocks until the test disables the rule.
 void Hold(const Rule& rule) {
   constexpr timespec kPause{.tv_sec = 0, .tv_nsec = 1'000'000};
   while (rule.active != 0) nanosleep(&kPause, nullptr);
@@ -165,7 +167,7 @@
   return reinterpret_cast<Function*>(dlsym(RTLD_NEXT, name));
 }
 
-// Carries out a call under its rule: `real` is the call itself.
+// Carries out a call under its rule. `real` makes the actual call.
 template <typename Result, typename RealCall>
 Result Run(Call call, Result failure, RealCall real) {
   Rule* const rule = TakeRule(call);
@@ -196,7 +198,8 @@
   }
 }
 
-// The same for calls that move bytes: `real` takes how many, and how many have been moved before.
+// Does the same for calls that transfer bytes. `real_at` takes the number of bytes to transfer and
+// the number of bytes already transferred.
 template <typename RealCall>
 ssize_t RunTransfer(Call call, std::size_t length, RealCall real_at) {
   const auto real = [&](std::size_t size) { return real_at(size, 0); };
--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -1,13 +1,13 @@
-"""A soak: random schedules of faults against real forwarders, judged from outside.
+"""A soak: random schedules of faults on real forwarders, checked from outside.
 
-    soak.py --seeds 50 --first 1 --jobs 6     many schedules, some at once
-    soak.py --play 17                         one schedule again
+    soak.py --seeds 50 --first 1 --jobs 6     many schedules, several in parallel
+    soak.py --play 17                         a single schedule
 
 Each schedule has clients that use their connections until these break, endpoints,
 discovery, operators, and one forwarder at a time that owns the state folder, with
-successors that are started beside it. A seed fixes the schedule, not the machine's
-timing. What a failed one wrote is kept in the folder of --keep, with the history of
-each message that had no final answer in time.
+successors that are started while it runs. A seed fixes the schedule, but not the
+machine's timing. The timeline and logs of a failed schedule are written to the folder
+of --keep, with the history of messages without a final answer in time.
 """
 
 import argparse
@@ -26,10 +26,10 @@
 from soak_endpoint import Mode
 from soak_verdict import FAILED_JUDGEMENT, Verdict
 
-PLAY_S = 6  # actions begin for so long
+PLAY_S = 6  # time during which actions begin
 CLIENTS = 4
-# While a restart excuses late notifications nothing is seen of them, so most schedules
-# have few. One of these counts is drawn for each schedule.
+# Late notifications are excused around a restart and cannot be detected there, so most
+# schedules have few interruptions. Each schedule draws one of these maximum counts.
 INTERRUPTION_LIMITS = (0, 1, 1, 2, 100)
 INTERRUPTIONS = (
     "act_kill",
@@ -39,7 +39,7 @@
     "act_stop_and_continue",
     "act_wait_over_a_change",
 )
-WEIGHTS = {  # of actions that leave messages without a delivery; others have 1
+WEIGHTS = {  # of actions that leave messages undelivered; others have 1
     "act_agent_lists": 2,
     "act_agent_moves_with_posts": 2,
     "act_agent_posts": 4,
@@ -49,7 +49,7 @@
     "act_outage": 3,
 }
 
-# With a fault of a share of the posts nothing else keeps notifications unread.
+# With --post-share, no other action keeps notifications from being read.
 POST_SHARE_ACTIONS = ("act_endpoints", "act_outage", "act_list")
 KILL_ACTIONS = ("act_kill", "act_kill", "act_kill_behind_ok", "act_kill_in_write")
 
@@ -104,7 +104,7 @@
         return name
 
     def stop_all_faults(self):
-        """All faults are over, and one process serves."""
+        """Ends all faults and the successor, and waits until one process serves."""
         for timer in self.timers:
             timer.cancel()
         for agent in self.discoveries:
@@ -132,7 +132,7 @@
 
 
 def play(seed, arguments):
-    """Whether the schedule held, and what to say of it."""
+    """Plays one schedule. Returns whether it passed, and a summary."""
     text = io.StringIO()
     soak = Soak(seed, arguments)
     passed = unittest.TextTestRunner(stream=text).run(soak).wasSuccessful()
@@ -159,13 +159,13 @@
 
 
 def failed_judgements(text):
-    """The names of the judgements that a schedule has failed."""
+    """Returns the names of the checks that a schedule failed."""
     names = re.findall(FAILED_JUDGEMENT + " ([a-z ]+):", text)
     return sorted(set(names)) or ["before the judgement"]
 
 
 def parse_counts(text):
-    """What a schedule's summary counts."""
+    """Returns the counts in a schedule's summary."""
     found = re.findall(r"\b(accepted|notified|open|late) (\d+)\b", text)
     return {name: int(count) for name, count in found}
 
@@ -176,18 +176,18 @@
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--jobs", type=int, default=6)
     parser.add_argument("--keep", default="soak-failures")
-    parser.add_argument("--play", type=int, help="one seed alone")
+    parser.add_argument("--play", type=int, help="play only this seed")
     parser.add_argument(
         "--unasked-answers",
         action="store_true",
-        help="endpoints may also write a second answer that nobody asked for, on which"
-        " the program loses messages",
+        help="endpoints may also write a second, unsolicited answer, after which the"
+        " program loses messages",
     )
     parser.add_argument(
         "--post-share",
         type=parse_post_share,
         metavar="FAULT:SHARE",
-        help="a share of all posts, drawn post by post, meets a fault: %s"
+        help="inject a fault into a random share of all posts: %s"
         % ", ".join(PostShare.FAULTS),
     )
     arguments = parser.parse_args()
--- a/tests/faults/soak_actions.py
+++ b/tests/faults/soak_actions.py
@@ -1,4 +1,8 @@
-"""What may happen in a schedule of the soak; each `act_` method is one action."""
+"""The actions of a schedule of the soak: one for each `act_` method.
+
+Their names must stay: an action is drawn from the sorted names, so a renamed one
+changes what each seed plays.
+"""
 
 import signal
 import time
@@ -10,29 +14,29 @@
 from soak_endpoint import Mode
 from soak_stage import Stage
 
-KILL_AFTER_S = 3.7  # behind SIGTERM, at the earliest
-SHORT_PAUSES_S = (0.05, 0.1, 0.15)  # a machine may hold a process up for so long
-LONG_PAUSE_S = 1.5  # that a successor may begin in
-OUTAGE_S = (0.8, 3.5)  # of all endpoints
-WAIT_S = (0.5, 3.0)  # that endpoints ask for
+KILL_AFTER_S = 3.7  # earliest SIGKILL after SIGTERM
+SHORT_PAUSES_S = (0.05, 0.1, 0.15)  # a machine may pause a process this long
+LONG_PAUSE_S = 1.5  # a successor may start during it
+OUTAGE_S = (0.8, 3.5)  # all endpoints are out
+WAIT_S = (0.5, 3.0)  # requested by endpoints
 AGENT_FAULT_S = (0.5, 2.5)
-HOLD_POSTS_S = 0.5  # reaches over the next unread window
-HELD_POSTS_S = 0.04  # in that window, before the agent moves
+HOLD_POSTS_S = 0.5  # lasts beyond the next unread window
+HELD_POSTS_S = 0.04  # time in that window before the agent moves
 CROWD = 120  # idle connections
 SIGNALS_TO_END = (signal.SIGTERM, signal.SIGINT, signal.SIGQUIT)
 
 
 class Actions(Stage):
-    unasked_answers = False  # endpoints may write a second answer that nobody asked for
+    unasked_answers = False  # endpoints may write a second, unsolicited answer
 
     def end_current(self, how=signal.SIGKILL):
-        """The signal of a restart."""
+        """Sends the signal that begins a restart."""
         if self.restart_began is None:
             self.restart_began = time.monotonic()
         self.current.send_signal(how)
 
     def hand_over(self, ended_at):
-        """The current process has ended: another one serves within the limit."""
+        """Replaces the ended process by one that serves within the limit."""
         status = self.current.process.wait(timeout=rig.LIMIT)
         self.note("ended", self.current.process.pid, status)
         if self.successor is None:
@@ -52,7 +56,7 @@
     def act_end_successor(self):
         if self.successor is None:
             return self.act_start_beside()
-        self.note("end the one that waits")
+        self.note("end the waiting successor")
         how = self.random.choice((signal.SIGKILL, *SIGNALS_TO_END))
         self.successor.end(how)
         self.successor = None
@@ -82,7 +86,7 @@
             reply = self.put_one(client, self.random)
         except OSError:
             reply = "none"
-        self.note("SIGKILL behind", reply)
+        self.note("SIGKILL after reply", reply)
         self.end_current()
         self.hand_over(time.monotonic())
 
@@ -103,13 +107,14 @@
 
     def act_hold_up(self):
         seconds = self.random.choice(SHORT_PAUSES_S)
-        self.note("held up", seconds)
+        self.note("paused", seconds)
         self.current.send_signal(signal.SIGSTOP)
         time.sleep(seconds)
         self.current.send_signal(signal.SIGCONT)
 
     def act_stop_and_continue(self):
-        """For longer than a machine holds a process up: that time is not counted."""
+        """Pauses the process for longer than a machine would; that time does not
+        count."""
         self.note("SIGSTOP")
         began = time.monotonic()
         self.current.send_signal(signal.SIGSTOP)
@@ -149,9 +154,9 @@
         self.discovery.refuse_connections()
 
     def act_agent_moves_with_posts(self):
-        """Posts are held unread or unanswered, and SIGHUP moves the agent."""
+        """Delays posts, unread or unanswered, while SIGHUP moves the agent."""
         fault = self.random.choice((Fault.UNREAD, Fault.UNANSWERED, Fault.VERY_SLOW))
-        self.note("posts held:", fault.value)
+        self.note("posts delayed:", fault.value)
         self.discovery.begin_post_fault(fault, HOLD_POSTS_S, self.random.random())
         sleep_to_unread_window()
         time.sleep(HELD_POSTS_S)
@@ -159,7 +164,7 @@
         self.send_reload("discovery moved")
 
     def act_outage(self):
-        """All endpoints are out, and come back when little time is left."""
+        """Takes all endpoints out until messages have little time left."""
         seconds = self.random.uniform(*OUTAGE_S)
         phase = self.random.choice(("Terminating", "Gone"))
         self.note("all endpoints", phase, "%.2f" % seconds)
@@ -187,7 +192,7 @@
         modes = [mode for mode in Mode if mode != Mode.UNASKED]
         if self.unasked_answers:
             modes += [Mode.UNASKED] * 3
-        if self.random.random() < 0.5:  # otherwise trouble at all of them
+        if self.random.random() < 0.5:  # otherwise all of them may fail
             modes += [Mode.TAKE] * 3
         opens_at = time.monotonic() + self.random.uniform(*WAIT_S)
         for name, endpoint in self.endpoints.items():
@@ -196,9 +201,9 @@
             self.note("endpoint", name, endpoint.mode.value)
 
     def act_wait_over_a_change(self):
-        """All endpoints ask to wait, and another process takes over meanwhile."""
+        """All endpoints request a wait, and another process takes over meanwhile."""
         seconds = self.random.uniform(*WAIT_S)
-        self.note("all endpoints ask to wait", "%.2f" % seconds)
+        self.note("all endpoints request a wait", "%.2f" % seconds)
         for endpoint in self.endpoints.values():
             endpoint.opens_at = time.monotonic() + seconds
             endpoint.mode = Mode.WAIT
@@ -227,7 +232,7 @@
         self.note("operator", path, status)
         if entering and status == 200:
             self.excluded[name] = time.monotonic()
-        elif not entering:  # back, or nobody knows
+        elif not entering:  # it is back, or the state is unknown
             self.drain_spans.append((name, self.excluded.pop(name), asked_at))
 
     def act_crowd(self):
--- a/tests/faults/soak_agent.py
+++ b/tests/faults/soak_agent.py
@@ -1,6 +1,6 @@
-"""An agent of discovery whose faults the soak's schedule decides.
+"""A discovery agent whose faults the soak's schedule controls.
 
-Posts of notifications and lists have faults of their own. Each fault ends by itself.
+Posts of notifications and lists have separate faults. Each fault ends by itself.
 """
 
 import enum
@@ -12,9 +12,9 @@
 import agent
 import rig
 
-# A post that is not read says nothing to the agent, so these faults come in windows,
-# one at the start of each period of the clock. They leave a forwarder time for another
-# post before the notification is late.
+# The agent learns nothing from a post that it does not read. These faults are therefore
+# limited to windows, one at the start of each period of the clock, which leave the
+# forwarder time for another post before the notification is late.
 UNREAD_WINDOW_S = 0.05
 UNREAD_PERIOD_S = 0.4
 SLOW_S = (0.11, 0.3)
@@ -28,7 +28,7 @@
     UNANSWERED = "read and not answered"
     CUT_ANSWER = "closed in the middle of the answer"
     ERROR = "answered with 500"
-    REJECT_ID = "a certain id rejected"  # of posts alone
+    REJECT_ID = "a certain id rejected"  # for posts only
     UNREAD = "not read"
     CUT_UNREAD = "closed unread"
 
@@ -48,17 +48,16 @@
 
 
 class FaultSpan:
-    """One fault that is over at `end`."""
+    """One fault that ends at the time `end`."""
 
     def __init__(self, fault, seconds, rng, only_in_windows=False):
         self.fault = fault
         self.begin = time.monotonic()
         self.end = self.begin + seconds
         self.rng = rng
-        self.only_in_windows = (
-            only_in_windows  # there is a fault only in the unread windows
-        )
-        self.rejected = None  # the id, from the first post on
+        # The fault is only active in the unread windows.
+        self.only_in_windows = only_in_windows
+        self.rejected = None  # the id, set by the first post
 
     def active(self):
         now = time.monotonic()
@@ -66,7 +65,7 @@
             return False
         if not self.only_in_windows:
             return True
-        # One window has one fault alone, so that these do not add up.
+        # A window has only one fault, so that faults do not add up.
         window_begin = now - time_in_period(now)
         return self.begin <= window_begin and time_in_period(now) < UNREAD_WINDOW_S
 
@@ -75,7 +74,7 @@
 
 
 class PostShare:
-    """A share of all posts, drawn post by post, meets one fault for the whole play."""
+    """Injects one fault into a random share of the posts of the whole schedule."""
 
     FAULTS = {
         "cut": Fault.CUT_UNREAD,
@@ -97,7 +96,7 @@
 
 class SoakAgentHandler(agent.AgentHandler):
     def leave_unread(self, span):
-        """Whether the request stays unread; its connection ends then."""
+        """Returns whether the request stays unread; then its connection ends."""
         if span is None or span.fault not in UNREAD_FAULTS:
             return False
         if span.fault == Fault.UNREAD:
@@ -117,7 +116,7 @@
             super().do_POST()
 
     def confirms(self):
-        """Whether a post that was read is answered."""
+        """Returns whether a post that was read is answered."""
         return self.share_fault != Fault.UNANSWERED
 
     def do_GET(self):
@@ -152,9 +151,9 @@
         self.post_fault = None
         self.list_fault = None
         self.post_share = None
-        self.read_at = {}  # when a message's notification was first read
-        self.deferred_at = {}  # the same for one that allows a retry
-        self.statuses = {}  # all that were read of a message
+        self.read_at = {}  # time of the first read notification, by message
+        self.deferred_at = {}  # time of the first `deferred` notification, by message
+        self.statuses = {}  # all statuses read, by message
 
     @staticmethod
     def active_fault(span):
@@ -174,11 +173,12 @@
         self.list_fault = None
 
     def answer_post(self, post):
-        """The status of the answer to a post that was read."""
+        """Returns the answer to a post that was read."""
         span = self.active_fault(self.post_fault)
         fault = span.fault if span else None
         if fault == Fault.REJECT_ID and self.rejects(span, post):
-            self.note_read([span.rejected], post)  # no post can bring more of it
+            # Each post with this id is rejected, so only this id counts as read.
+            self.note_read([span.rejected], post)
             return 400
         self.note_read(post.ids, post)
         if not post.confirms:
@@ -199,7 +199,8 @@
         return 204
 
     def rejects(self, span, post):
-        """Rejects the first id that it sees, and each post with it."""
+        """Returns whether the fault rejects the post: it rejects the first id that it
+        sees, and each post that contains it."""
         with self.changed:
             span.rejected = span.rejected or post.ids[0]
         return span.rejected in post.ids
@@ -215,7 +216,7 @@
                     self.deferred_at.setdefault(name, post.arrived)
 
     def refuse_connections(self):
-        """In an unread window connections are refused; the open ones are cut."""
+        """Closes open connections and refuses new ones during one unread window."""
         if self.post_fault is not None and self.post_fault.only_in_windows:
             self.post_fault = None
         sleep_to_unread_window()
@@ -223,7 +224,7 @@
         self.socket.close()
         listener = socket.socket(self.address_family, self.socket_type)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listener.bind(self.server_address)  # nobody else gets the port
+        listener.bind(self.server_address)  # keeps the port reserved
         self.cut_connections()
         time.sleep(UNREAD_WINDOW_S)
         listener.listen(self.request_queue_size)
--- a/tests/faults/soak_endpoint.py
+++ b/tests/faults/soak_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint whose answers the soak's schedule decides."""
+"""An endpoint whose answers the soak's schedule controls."""
 
 import enum
 import random
@@ -18,15 +18,15 @@
 
 class Mode(enum.Enum):
     TAKE = "take"
-    REJECT = "turn away"  # 503
-    WAIT = "ask to wait"  # 429, until it opens
+    REJECT = "reject"  # 503
+    WAIT = "request a wait"  # 429 until `opens_at`
     HANG = "never answer"
-    ABOUT_DEADLINE = "answer about the deadline"
+    ABOUT_DEADLINE = "answer near the deadline"
     HANG_IN_LINE = "hang in the first line"
-    HANG_IN_HEADERS = "hang behind the first line"
+    HANG_IN_HEADERS = "hang after the first line"
     CUT_LINE = "cut the first line"
     GONE = "410"
-    UNASKED = "a second answer unasked for"
+    UNASKED = "a second, unsolicited answer"
 
 
 class SoakEndpointHandler(toy_server.Handler):
@@ -45,7 +45,7 @@
             return self.reply(410)
         if mode == Mode.HANG:
             return None
-        endpoint.delivered.append(message)  # it runs, whatever the answer
+        endpoint.delivered.append(message)  # the message ran, whatever the answer
         return self.answer_run(message, mode)
 
     def ask_to_wait(self):
@@ -77,15 +77,15 @@
 
 
 class SoakEndpoint(rig.Endpoint):
-    """`delivered` has each message once for each time that it ran."""
+    """An endpoint whose `delivered` has one entry for each time that a message ran."""
 
     def __init__(self):
         super().__init__()
         self.RequestHandlerClass = SoakEndpointHandler
         self.mode = Mode.TAKE
-        self.arrivals = []  # when, message, and how it is answered
-        self.answered = []  # when the first line with 200 was written, message
+        self.arrivals = []  # (time, message, mode of the answer)
+        self.answered = []  # (time of writing the first line with 200, message)
         self.gone = set()  # messages that were answered with 410
-        self.opens_at = 0.0  # in mode WAIT
-        self.waits = []  # that were told
+        self.opens_at = 0.0  # end of the wait in mode WAIT
+        self.waits = []  # requested waits
         self.rng = random.Random()
--- a/tests/faults/soak_judge.py
+++ b/tests/faults/soak_judge.py
@@ -1,25 +1,26 @@
-"""Whether each accepted message had its final answer in time.
+"""Checks whether each accepted message had its final answer in time.
 
-The rule is the protocol page's: a message is delivered by its deadline, or the
-platform's agent has read its notification 300 ms later. No notification is overdue
-from the signal of a restart until 1.5 s after the next process is ready.
+The rule comes from the protocol page: a message is delivered by its deadline, or the
+platform's agent has read its notification at most 300 ms after the deadline. No
+notification is overdue from the signal of a restart until 1.5 s after the next process
+is ready.
 """
 
 import threading
 import time
 
-NOTIFICATION_LIMIT_S = 0.3  # behind the deadline
-RESTART_GRACE_S = 1.5  # behind the moment at which the next process is ready
-REPLY_LIMIT_S = 0.4  # a client waits so long for the reply
+NOTIFICATION_LIMIT_S = 0.3  # after the deadline
+RESTART_GRACE_S = 1.5  # after the next process is ready
+REPLY_LIMIT_S = 0.4  # longest that a client waits for the reply
 HEARTBEAT_S = 0.005
-AROUND_S = 0.1  # a thread's lateness counts so long before and after a moment
+AROUND_S = 0.1  # range around a moment in which scheduling delays count
 
 
 class Heartbeat:
-    """Measures how late the threads of this process run."""
+    """Measures the scheduling delays of the threads of this process."""
 
     def __init__(self):
-        self.lateness = []  # when, by how much
+        self.lateness = []  # (time, delay)
         self.stopping = threading.Event()
         self.thread = threading.Thread(target=self.run, daemon=True)
         self.thread.start()
@@ -51,18 +52,20 @@
         self.replied_at = replied_at
 
     def client_waited(self):
-        """Whether the reply came in time; a message counts for nothing otherwise."""
+        """Returns whether the reply came in time; otherwise the message is not
+        checked."""
         return self.replied_at - self.sent_at <= REPLY_LIMIT_S
 
     def is_delivered(self, answered_at):
-        """`answered_at`: when an endpoint answered with 200, None if none did."""
+        """`answered_at`: time at which an endpoint answered with 200; None if none
+        did."""
         if answered_at is None:
             return False
         return answered_at <= self.deadline or not self.client_waited()
 
 
 def merge(spans):
-    """The same spans of time, in order and none of them touching another."""
+    """Returns the same spans of time, sorted and with overlapping spans joined."""
     merged = []
     for begin, end in sorted(spans):
         if merged and begin <= merged[-1][1]:
@@ -83,8 +86,9 @@
 
 
 def notification_due(deadline, excused_spans, long_pauses):
-    """When the notification is overdue. The spans are merged ones. The limit's clock
-    stands still while the process is held for longer than a machine would do it."""
+    """Returns the time from which the notification is overdue. The spans must be
+    merged. The time limit does not run during long pauses of the process, which are
+    longer than a machine would cause."""
     due = due_after_restarts(deadline, excused_spans)
     for begin, end in long_pauses:
         clock_starts = due - NOTIFICATION_LIMIT_S
@@ -96,8 +100,9 @@
 def late_messages(
     messages, answered_at, read_at, excused_spans, long_pauses, heartbeat
 ):
-    """Messages with neither a delivery nor a notification in time, with what was seen:
-    by how much each notification was late, None if none was read."""
+    """Returns the messages with neither a delivery nor a notification in time:
+    (message, due time, lateness of the notification or None if none was read, allowed
+    lateness)."""
     spans = merge(excused_spans)
     pauses = merge(long_pauses)
     late = []
--- a/tests/faults/soak_scheduling.py
+++ b/tests/faults/soak_scheduling.py
@@ -1,6 +1,7 @@
-"""How long threads of a forwarder wait for a processor, as the system counts it.
+"""Measures how long threads of a forwarder wait for a processor.
 
-Evidence for whoever reads a failed schedule: nothing is excused by it.
+The times come from the kernel's scheduling statistics. They help to explain a failed
+schedule; they excuse no failure.
 """
 
 import pathlib
@@ -11,7 +12,7 @@
 
 
 def read_waits(pid):
-    """Seconds that each thread has waited so far, by its number."""
+    """Returns the seconds that each thread has waited so far, by thread id."""
     waits = {}
     for path in pathlib.Path("/proc/%d/task" % pid).glob("*/schedstat"):
         try:
@@ -22,7 +23,7 @@
 
 
 class ProcessorWaits:
-    """Calls `tell` for each wait of the process that `pid` returns."""
+    """Calls `log` for each long wait of a thread of the process that `pid` returns."""
 
     def __init__(self, pid, log):
         self.pid = pid
--- a/tests/faults/soak_stage.py
+++ b/tests/faults/soak_stage.py
@@ -1,4 +1,4 @@
-"""What a schedule of the soak plays on: endpoints, agents, processes and clients."""
+"""The setup of a schedule of the soak: endpoints, agents, processes and clients."""
 
 import random
 import threading
@@ -11,13 +11,13 @@
 from soak_endpoint import SoakEndpoint
 from soak_scheduling import ProcessorWaits
 
-ONCE, REPEATABLE = "once", "plan-event"  # classes by what a repeat may do
-READY_S = 10  # after the end of the process before
+ONCE, REPEATABLE = "once", "plan-event"  # classes: repeats forbidden, repeats allowed
+READY_S = 10  # limit after the end of the previous process
 LEFT_MS = (300, 500, 800, 1500, 1500, 3000, 4500)
 
 
 class Stage(FaultTest):
-    post_share = None  # a fault of PostShare, and the share of posts that it meets
+    post_share = None  # (fault name of PostShare, share of posts)
 
     def __init__(self, seed):
         super().__init__()
@@ -44,10 +44,10 @@
         self.processes = []
         self.current = None
         self.successor = None
-        self.excluded = {}  # endpoints that operators took out, and since when
-        self.drain_spans = []  # name, begin, end
-        self.excused_spans = []  # in which no notification is overdue
-        self.long_pauses = []  # in which the time does not count
+        self.excluded = {}  # endpoints in maintenance: time of entry by name
+        self.drain_spans = []  # (name, begin, end)
+        self.excused_spans = []  # (begin, end); no notification is overdue in them
+        self.long_pauses = []  # (begin, end); time limits do not run in them
         self.restart_began = None
         self.timers = []
         self.heartbeat = soak_judge.Heartbeat()
@@ -93,7 +93,7 @@
         return forwarder
 
     def put_one(self, client, rng):
-        """One message on an open connection; its reply."""
+        """Submits one message on an open connection. Returns the reply."""
         name = ONCE if rng.random() < 0.5 else REPEATABLE
         left_ms = rng.choice(LEFT_MS)
         fields = "c=%s,t=acme" % name
--- a/tests/faults/soak_verdict.py
+++ b/tests/faults/soak_verdict.py
@@ -1,4 +1,4 @@
-"""What is asked of a schedule of the soak behind its end."""
+"""The checks of a schedule of the soak after its end."""
 
 import signal
 import time
@@ -9,9 +9,11 @@
 from soak_actions import SIGNALS_TO_END, Actions
 
 DRAIN_GRACE_S = 1.5
-MAX_PAUSE_S = 0.15  # of a forwarder between its clock and its write, by the page
-SETTLE_S = 4  # behind the last deadline
-HISTORIES = 10  # at most, of each kind
+# Longest pause of a forwarder between reading its clock and writing, by the protocol
+# page.
+MAX_PAUSE_S = 0.15
+SETTLE_S = 4  # after the last deadline
+HISTORIES = 10  # maximum of each kind
 FAILED_JUDGEMENT = "FAILED JUDGEMENT"
 FORBIDDEN_LINES = (
     "fatal signal",
@@ -24,7 +26,7 @@
 
 class Verdict(Actions):
     def answered_at(self):
-        """When each message was first answered with 200."""
+        """Returns the time at which each message was first answered with 200."""
         first = {}
         for endpoint in self.endpoints.values():
             for at, message in list(endpoint.answered):
@@ -32,8 +34,8 @@
         return first
 
     def open_ids(self):
-        """Messages with neither a delivery that counts nor a notification that the
-        agent has confirmed."""
+        """Returns messages with neither a delivery that counts nor a notification that
+        the agent has confirmed."""
         confirmed = {n["id"] for d in self.discoveries for n in list(d.notices)}
         answered_at = self.answered_at()
         return {
@@ -44,7 +46,7 @@
         }
 
     def read_at(self):
-        """When an agent first read each message's notification."""
+        """Returns the time at which an agent first read each message's notification."""
         first = {}
         for agent in self.discoveries:
             with agent.changed:
@@ -105,7 +107,7 @@
         self.assertEqual([x[0].name for x in late], [], "late")
 
     def note_history(self, message):
-        """What was seen of one message, into the timeline."""
+        """Writes all events of one message to the timeline."""
         name = message.name
         seen = [
             (message.sent_at, "client sends"),
@@ -143,7 +145,7 @@
         self.assertEqual(repeated, set(), "run more than once")
 
     def judge_deferrals(self):
-        """A client hands a message in again once it is deferred, so it must not run."""
+        """A client submits a message again once it is deferred, so it must not run."""
         deferred_at = {}
         for agent in self.discoveries:
             for message, at in list(agent.deferred_at.items()):
@@ -180,8 +182,8 @@
             self.assertEqual(late, [], "sent to an endpoint that is out")
 
     def judge_waits(self):
-        """A wait of any endpoint binds all of the destination, over every change of
-        process."""
+        """A wait of any endpoint binds all endpoints of the destination, and it
+        outlasts every replacement of the process."""
         arrivals = [at for e in self.endpoints.values() for at, *_ in list(e.arrivals)]
         waits = [wait for e in self.endpoints.values() for wait in list(e.waits)]
         broken = [
@@ -194,7 +196,8 @@
         self.assertEqual(broken, [], "called in a wait")
 
     def is_excused(self, at, wait):
-        """Whether a machine that held the forwarder or the endpoint up explains it."""
+        """Returns whether a pause of the forwarder or of the endpoint, caused by the
+        machine, explains the call."""
         for begin, end in [*self.long_pauses, (wait.requested_at, wait.requested_at)]:
             late = MAX_PAUSE_S + self.heartbeat.worst(begin, at + soak_judge.AROUND_S)
             if wait.requested_at <= end and at <= end + WAIT_SLACK_S + late:
@@ -206,7 +209,7 @@
         for forwarder in self.processes:
             status = forwarder.process.poll()
             forwarder.reader.join(timeout=rig.LIMIT)
-            # A signal may come before the program's first instruction.
+            # A signal may arrive before the program's first instruction.
             not_begun = not forwarder.log and -status in SIGNALS_TO_END
             expected = status in (0, -signal.SIGKILL) or not_begun
             self.assertTrue(expected, (status, forwarder.log[-3:]))
