--- a/tests/faults/acknowledge_test.py
+++ b/tests/faults/acknowledge_test.py
@@ -1,7 +1,7 @@
-"""The acknowledgement of an accepted message, to clients that leave around it.
+"""The acknowledgement of an accepted message, for clients that disconnect near it.
 
-A client that has read the whole `+OK` is owed the message's end. One that still reads
-gets an answer to each command that was read, also where it has ended its sending.
+Once a client has read a complete `+OK`, the message must end. A client that still reads
+gets an answer to each command that was read, even if it has closed its sending side.
 """
 
 import socket
@@ -13,31 +13,32 @@
 import toy_server
 from rig import FaultTest, wait_for
 
-# The states of TCP once the peer has confirmed the end of our sending: FIN_WAIT2, and
-# TIME_WAIT and CLOSE once it has ended its own.
+# The TCP states after the peer has acknowledged our FIN: FIN_WAIT2, and TIME_WAIT and
+# CLOSE once the peer has closed its side as well.
 CONFIRMED_STATES = (5, 6, 7)
 LEFT_MS = 20000
 
 
 def end_sending(client):
-    """Half-closes the connection; the forwarder's system knows that at the return."""
+    """Half-closes the connection and waits until the forwarder's system knows it."""
     client.socket.shutdown(socket.SHUT_WR)
 
     def is_confirmed():
         info = client.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)
         return info[0] in CONFIRMED_STATES
 
-    wait_for("the confirmation of our end", is_confirmed)
+    wait_for("the acknowledgement of our FIN", is_confirmed)
 
 
 def reset(client):
-    linger = struct.pack("ii", 1, 0)  # on, for 0 s: a reset in place of an end
+    # On, for 0 s: close sends a reset instead of a FIN.
+    linger = struct.pack("ii", 1, 0)
     client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     client.close()
 
 
 def read_all(client):
-    """The lines of all replies up to the end of the connection."""
+    """Returns the lines of all replies up to the end of the connection."""
     try:
         return client.file.read().decode().splitlines()
     except ConnectionResetError:
@@ -63,7 +64,8 @@
         return message
 
     def record_reply(self, message, reply):
-        """Whether the reply says that the message is owed; it is waited for then."""
+        """Checks the reply. Returns whether it accepts the message, and records it
+        then."""
         self.assertRegex(reply, r"^(\+OK|-BUSY( \d+)?)$", message)
         if reply == "+OK":
             self.accepted.append(message)
@@ -76,15 +78,16 @@
 
 
 class HalfClosedTest(AcknowledgeTest):
-    """Clients that end their sending right behind the command and read the answer."""
+    """Clients that half-close right after the command and then read the answer."""
 
     def assert_not_delivered(self, messages):
-        """Those that were refused; what was accepted has ended by now."""
+        """Checks that refused messages were not delivered; accepted ones have ended."""
         self.await_none_in_flight()
         for message in messages:
             self.assertEqual(self.calls_of(message), [])
 
-    # Guards against a connection that ends with no answer to a command that was read.
+    # Guards against a connection that ends without an answer to a command that was
+    # read.
     def test_a_client_that_ends_its_sending_gets_an_answer(self):
         self.start()
         refused = []
@@ -98,7 +101,8 @@
         self.assert_accepted_end()
         self.assert_not_delivered(refused)
 
-    # Guards against the same where the end comes while the message is being recorded.
+    # Guards against the same failure when the client half-closes while the message is
+    # being recorded.
     def test_a_client_that_ends_its_sending_during_the_record_gets_an_answer(self):
         self.start()
         held = self.faults.fail("pwrite", rig.HOLD_BEFORE)
@@ -111,7 +115,7 @@
         self.assert_accepted_end()
         self.assert_not_delivered([] if accepted else [message])
 
-    # Guards against the commands behind the first one being left without an answer.
+    # Guards against leaving the commands after the first one without an answer.
     def test_each_of_several_commands_gets_an_answer(self):
         self.start()
         held = self.faults.fail("pwrite", rig.HOLD_BEFORE)
@@ -142,7 +146,7 @@
 
 
 class LeavingTest(AcknowledgeTest):
-    """Clients that are gone as soon as they have read `+OK`."""
+    """Clients that disconnect as soon as they have read `+OK`."""
 
     def leave_after_reply(self, leave):
         self.start()
@@ -155,7 +159,7 @@
         self.assert_accepted_end()
 
     def leave_before_the_send_returns(self, leave):
-        """The forwarder knows of its reply only once the client is gone."""
+        """The forwarder's send returns only after the client has disconnected."""
         self.start()
         for _ in range(5):
             client = self.connect()
@@ -205,7 +209,7 @@
 
 
 class FailingReplyTest(AcknowledgeTest):
-    """The reply's own system calls fail."""
+    """The system calls that send the reply fail."""
 
     def test_a_reply_that_is_written_in_parts(self):
         self.start()
@@ -233,7 +237,7 @@
                     self.assert_accepted_end()
 
     def test_a_reply_that_breaks_off_is_never_completed(self):
-        """Part of it was written: the client must not read a whole `+OK`."""
+        """Part of it was written: the client must not read a complete `+OK`."""
         self.start()
         for error in ("EPIPE", "ECONNRESET", "ENOBUFS"):
             for part in (0, 1, 4):
--- a/tests/faults/final_answer_agent_test.py
+++ b/tests/faults/final_answer_agent_test.py
@@ -1,7 +1,8 @@
-"""An agent of discovery that moves, refuses, cuts, rejects or does not accept.
+"""A discovery agent that moves, refuses or cuts connections, rejects posts or does not
+accept.
 
-Whatever it does for a while, it reads the notification of each message that was given
-up once it can, and each is confirmed at last.
+Whatever its faults, it eventually reads the notification of each message that was given
+up, and confirms each.
 """
 
 import signal
@@ -16,7 +17,7 @@
 NO_CONTENT = b"HTTP/1.1 204 No Content\r\n\r\n"
 MESSAGES = 3
 LEFT_MS = 300
-MAX_POSTS = 8  # that a forwarder waits for at once
+MAX_POSTS = 8  # maximum pending posts of a forwarder
 CONNECTIONS_BEYOND_THE_BACKLOG = 4
 
 
@@ -36,7 +37,7 @@
 
 class MoveTest(AgentTest):
     def start_and_move(self, forwarder):
-        """Discovery has a new address from now on; returns the agent there."""
+        """Moves discovery to a new address; returns the agent there."""
         other = self.new_stand_in(Agent)
         other.members = self.members()
         self.config["discovery"] = other.address
@@ -44,7 +45,7 @@
         forwarder.send_signal(signal.SIGHUP)
         return other
 
-    # Guards against notifications waiting for an agent that discovery has left.
+    # Guards against notifications waiting for the agent at the old discovery address.
     def test_held_notifications_go_to_the_address_that_discovery_moved_to(self):
         self.discovery.on_post = self.discovery.hold
         forwarder = self.start_with_admin()
@@ -53,7 +54,7 @@
         messages += self.put_some()
         self.assert_confirmed(messages, other)
 
-    # Guards against the same where the old agent has gone.
+    # Guards against the same failure when the old agent refuses connections.
     def test_refused_notifications_go_to_the_address_that_discovery_moved_to(self):
         forwarder = self.start_with_admin()
         self.discovery.refuse()
@@ -65,7 +66,7 @@
 class CutTest(AgentTest):
     FAULTS = 30  # posts in a row that fail
 
-    # Guards against posts that are cut off unread being taken for read.
+    # Guards against treating posts that were cut off unread as read.
     def test_notifications_whose_posts_are_cut_unread_are_read_at_last(self):
         cut = []
 
@@ -77,13 +78,13 @@
         self.start_with_admin()
         self.assert_confirmed(self.put_some())
 
-    # Guards against a part of an answer confirming a post, and against giving up.
+    # Guards against a partial answer confirming a post, and against giving up.
     def test_half_an_answer_confirms_nothing(self):
         for length in (1, NO_CONTENT.index(b"4") + 1, len(NO_CONTENT) - 1):
             with self.subTest(length=length):
                 self.assert_confirmed_after(NO_CONTENT[:length])
 
-    # Guards against notifications being dropped after so many errors.
+    # Guards against dropping notifications after many errors.
     def test_an_agent_that_answers_with_errors_confirms_at_last(self):
         self.assert_confirmed_after(500)
 
@@ -99,7 +100,7 @@
 
 
 class ListenerTest(AgentTest):
-    # Guards against an agent that was away for a while being left alone afterwards.
+    # Guards against never calling an agent again after an outage.
     def test_an_agent_that_refused_connections_reads_all_once_it_is_back(self):
         address = rig.free_address()
         self.discovery.refuse()
@@ -113,7 +114,8 @@
         self.assert_confirmed(messages)
 
     def fill_the_queue(self):
-        """Further connections do not come up until the agent accepts."""
+        """Fills the accept queue, so that no connection is established until the agent
+        accepts again."""
         self.discovery.stop_accepting(backlog=0)
         host, port = self.discovery.server_address
         for _ in range(CONNECTIONS_BEYOND_THE_BACKLOG):
@@ -122,7 +124,8 @@
             filler.setblocking(False)
             filler.connect_ex((host, port))
 
-    # Guards against connections that do not come up keeping new notifications apart.
+    # Guards against spreading notifications over more posts than may be pending while
+    # no connection can be established.
     def test_an_agent_that_did_not_accept_reads_all_in_the_pending_posts(self):
         self.start_with_admin()
         wait_for("the watch", lambda: self.discovery.connections)
@@ -138,14 +141,15 @@
 
 
 class AgentThatAnswersTwice(AgentTest):
-    """The agent answers one post twice, on a connection that is kept."""
+    """The agent answers one post twice, on a persistent connection."""
 
     def setUp(self):
         super().setUp()
         self.config["settings"]["limits"].update(probes=False)
 
     def answer_the_first_by_hand(self, post):
-        """The first post's connection is read no further until the test's end."""
+        """Confirms the first post and then reads nothing more from its connection until
+        the test ends."""
         if post.number > 0:
             return 204
         post.connection.sendall(NO_CONTENT)
@@ -159,7 +163,7 @@
 
 
 class SecondAnswerTest(AgentThatAnswersTwice):
-    # Guards against a post being confirmed by an answer that was there before it.
+    # Guards against a post being confirmed by an answer that arrived before the post.
     def test_a_second_answer_confirms_no_later_post(self):
         self.start_with_admin()
         self.confirm_one()
--- a/tests/faults/final_answer_delivery_test.py
+++ b/tests/faults/final_answer_delivery_test.py
@@ -1,7 +1,7 @@
 """Answers of endpoints that do not end a message for the platform.
 
-The agent reads the notification of each accepted message that no endpoint delivered in
-the client's time, whatever an endpoint answers, and when.
+The agent reads the notification of each accepted message that no endpoint delivered by
+the client's deadline, whatever an endpoint answers, and whenever it answers.
 """
 
 import base64
@@ -16,17 +16,17 @@
 from final_answer_test import FinalAnswerTest
 from rig import HOLD_AFTER, Endpoint, toy_server, wait_for
 
-MAX_PAUSE_S = 0.15  # the longest that a forwarder may be held up, by the protocol
-MARGIN_S = 0.04  # an answer comes so long behind the client's deadline
+MAX_PAUSE_S = 0.15  # longest pause of a forwarder that the protocol allows
+MARGIN_S = 0.04  # time from the client's deadline to the answer
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
 class DeadlineTest(FinalAnswerTest):
-    """A forwarder's clock is behind its client's by what it was held up."""
+    """The forwarder computes a later deadline than its client because it was paused."""
 
     def setUp(self):
         super().setUp()
-        self.answer_at = None  # of the monotonic clock
+        self.answer_at = None  # time on the monotonic clock
         self.calls = []
         for endpoint in self.endpoints.values():
             endpoint.answer = self.answer_after_the_deadline
@@ -37,7 +37,8 @@
         return 200, {}
 
     def put_while_paused(self, forwarder, left_s):
-        """The forwarder counts the message's time from HOLD_UP_S behind its sending."""
+        """Submits a message whose time the forwarder counts from MAX_PAUSE_S after it
+        was sent."""
         client = toy_server.Client(self.listen, timeout=rig.LIMIT)
         self.addCleanup(client.close)
         self.assertEqual(client.call("PING"), "+PONG")
@@ -62,7 +63,7 @@
         )
         self.await_none_in_flight()
 
-    # Guards against an answer behind the client's deadline, but before the forwarder's,
+    # Guards against an answer after the client's deadline, but before the forwarder's,
     # ending a message without a notification.
     def test_a_delivery_after_the_clients_deadline_is_notified_as_well(self):
         forwarder = self.start_with_admin()
@@ -76,19 +77,18 @@
         self.start()
         self.await_notification(message)
 
-    # Guards against the same where the message was restored.
+    # Guards against the same failure for a restored message.
     def test_a_late_delivery_of_a_restored_message_is_notified_as_well(self):
         self.assert_notified_by_a_successor(left_s=2.5)
 
-    # Guards against the time that a restored message is kept at least counting as the
-    # client's.
+    # Guards against treating the minimum time for which a restored message is kept as
+    # the client's deadline.
     def test_a_late_delivery_is_notified_though_a_restart_kept_its_message_longer(self):
         self.assert_notified_by_a_successor(left_s=1.2)
 
 
 class GoneTest(FinalAnswerTest):
-    # Guards against an endpoint's "the message is over" ending it without a
-    # notification.
+    # Guards against the answer 410 Gone ending a message without a notification.
     def test_a_message_that_the_endpoint_reports_as_gone_is_notified(self):
         for endpoint in self.endpoints.values():
             endpoint.answer = lambda call: (410, {})
@@ -99,7 +99,8 @@
 
 
 class BundleHandler(toy_server.Handler):
-    """Holds each call until it is released; messages in a bundle are gone then."""
+    """Delays each call until it is released; then reports messages in a bundle as
+    gone."""
 
     def do_POST(self):
         self.server.arrivals += 1
@@ -124,7 +125,7 @@
 
 
 class GoneInBundleTest(FinalAnswerTest):
-    MESSAGES = 40  # more than the calls that may be out at once
+    MESSAGES = 40  # more than the maximum number of calls in flight
 
     def members(self, **phases):
         return [dict(m, flavor="bundle") for m in super().members(**phases)]
@@ -150,7 +151,7 @@
 
 
 class DeliveredAfterGiveUpTest(FinalAnswerTest):
-    # Guards against a late delivery taking a notification back whose post is under way.
+    # Guards against a late delivery cancelling a notification whose post is in flight.
     def test_a_notification_is_confirmed_though_the_endpoint_answers_meanwhile(self):
         self.config["settings"]["limits"].update({"may-cancel": False})
         self.set_mode(Endpoint.HOLD)
@@ -168,7 +169,7 @@
         message, reply = client.put(rig.DESTINATION, "body", left_ms=2500)
         self.assertEqual(reply, "+OK")
         wait_for("the call", lambda: self.hangs(message))
-        # The answer is read before the deadline, and has its effect behind it.
+        # The answer is read before the deadline, but processed after it.
         rule = self.faults.fail("recv", HOLD_AFTER)
         for endpoint in self.endpoints.values():
             endpoint.released.set()
@@ -178,8 +179,7 @@
         self.assertFalse(self.discovery.has_read(message))
         wait_for("its notification", lambda: self.discovery.has_read(message))
         self.faults.end()
-        # The result of a later call has been read, so that of the held call has as
-        # well.
+        # Once the result of a later call has been read, so has that of the held call.
         self.set_mode(Endpoint.TAKE)
         later = self.put_accepted(left_ms=20000)
         wait_for("the later delivery", lambda: self.calls_of(later))
@@ -190,7 +190,7 @@
 
 
 class EndpointThatAnswersTwice(FinalAnswerTest):
-    """An endpoint answers one call twice, on a connection that is kept."""
+    """An endpoint answers one call twice, on a persistent connection."""
 
     def setUp(self):
         super().setUp()
@@ -216,7 +216,8 @@
         self.addCleanup(answered.set)
 
     def assert_final(self, message):
-        """The message was delivered, or the agent has read its notification."""
+        """Checks that the message is delivered or the agent has read its
+        notification."""
         wait_for(
             "the end of " + message,
             lambda: self.calls_of(message) or self.discovery.has_read(message),
@@ -224,7 +225,8 @@
         self.await_none_in_flight()
 
     def deliver_first(self):
-        """The forwarder keeps the connection of this call at the return."""
+        """Delivers a message, after which the forwarder keeps the call's connection
+        open."""
         self.set_mode(Endpoint.TAKE)
         message = self.put_accepted(left_ms=20000)
         wait_for("the delivery", lambda: self.calls_of(message))
@@ -232,7 +234,7 @@
 
 
 class SecondAnswerTest(EndpointThatAnswersTwice):
-    # Guards against a call being ended by an answer that was there before it was
+    # Guards against a call being ended by an answer that arrived before the call was
     # written.
     def test_an_unsolicited_answer_ends_no_call(self):
         self.start_with_admin()
--- a/tests/faults/final_answer_restart_test.py
+++ b/tests/faults/final_answer_restart_test.py
@@ -1,7 +1,7 @@
 """Restarts while notifications are not confirmed.
 
-A process ends in its time though the agent answers no post, and its successor notifies
-what it left.
+A process ends within its time limit even if the agent answers no post, and its
+successor sends the remaining notifications.
 """
 
 import signal
@@ -12,7 +12,7 @@
 from final_answer_test import FinalAnswerTest
 from rig import KILL_AFTER, KILL_BEFORE, Endpoint, wait_for
 
-SIGKILL_AFTER_SIGTERM_S = 3.7  # by the protocol, no sooner
+SIGKILL_AFTER_SIGTERM_S = 3.7  # earliest time, by the protocol
 
 
 class RestartTest(FinalAnswerTest):
@@ -22,7 +22,8 @@
         }
 
     def assert_confirmed_by_a_successor(self, messages):
-        """The agent answers from now on."""
+        """Makes the agent answer, and starts a successor that posts the
+        notifications."""
         first = len(self.discovery.posts)
         self.discovery.on_post = lambda post: 204
         successor = self.start()
@@ -36,7 +37,7 @@
 
 
 class TerminatedTest(RestartTest):
-    # Guards against posts that are not answered keeping a process beyond its time.
+    # Guards against unanswered posts keeping a process alive beyond its time limit.
     def test_a_process_whose_posts_are_held_ends_in_its_time(self):
         self.discovery.on_post = self.discovery.hold
         forwarder = self.start_with_admin()
@@ -48,10 +49,10 @@
 
 
 class DeferredTest(RestartTest):
-    CLASS = {"effect": "side_effect"}  # may not be repeated
+    CLASS = {"effect": "side_effect"}  # messages may not be repeated
 
     def lines_of(self, message):
-        """What the agent has read of the message."""
+        """Returns the notifications of the message that the agent has read."""
         return [
             line
             for post in self.discovery.posts
@@ -59,8 +60,8 @@
             if line["id"] == message
         ]
 
-    # Guards against a message running, or getting another status, whose client was told
-    # to hand it in again.
+    # Guards against a message running, or getting another status, after its client was
+    # told to submit it again.
     def test_a_deferral_outlives_a_kill_before_its_confirmation(self):
         for left_ms in (300, 800, 2000):
             with self.subTest(left_ms=left_ms):
@@ -81,7 +82,7 @@
 
 
 class KilledTest(RestartTest):
-    # Guards against a notification that was read and not confirmed being dropped.
+    # Guards against dropping a notification that was read but not confirmed.
     def test_a_kill_after_the_first_post_leaves_its_notification_to_the_successor(
         self,
     ):
@@ -96,7 +97,8 @@
         self.assertTrue(self.discovery.has_read(message))
         self.assert_confirmed_by_a_successor([message])
 
-    # Guards against a message that was given up and never posted being dropped.
+    # Guards against dropping the notification of a message that was given up, but not
+    # posted yet.
     def test_a_kill_before_the_first_post_leaves_its_notification_to_the_successor(
         self,
     ):
@@ -112,7 +114,7 @@
                 forwarder = self.start_with_admin()
                 message = self.put_accepted(left_ms=800)
                 wait_for("its call", lambda: self.hangs(message))
-                # Nothing but the post opens a connection or sends from now on.
+                # From now on only the post opens a connection or sends.
                 self.faults.fail(call, moment)
                 forwarder.process.wait(timeout=rig.LIMIT)
                 self.faults.end()
--- a/tests/faults/final_answer_shortage_test.py
+++ b/tests/faults/final_answer_shortage_test.py
@@ -1,7 +1,7 @@
 """Notifications while this machine lacks descriptors, threads or memory.
 
-What fails here for a while, or a crowd of clients, keeps no notification from its
-agent.
+Neither a temporary local failure nor many clients may keep a notification from reaching
+its agent.
 """
 
 import resource
@@ -15,8 +15,8 @@
 
 MESSAGES = 3
 LEFT_MS = 300
-HELD_POSTS = 3  # as many as threads are kept for them
-SLACK_MS = 1500  # of a busy machine, beside the protocol's limit
+HELD_POSTS = 3  # number of threads that are kept for posts
+SLACK_MS = 1500  # allowance for a busy machine, on top of the protocol's limit
 CLOSED = -1  # the descriptor of a socket that was closed
 
 
@@ -41,7 +41,7 @@
     DESCRIPTORS = 128
 
     def gather_clients(self):
-        """Opens idle connections until one is closed for want of room."""
+        """Opens idle connections until the forwarder closes one to free its place."""
         clients = []
 
         def one_is_closed():
@@ -53,10 +53,10 @@
             readable, _, _ = select.select([c.socket for c in clients], [], [], 0)
             return bool(readable)
 
-        wait_for("a crowd that takes all room", one_is_closed)
+        wait_for("clients that use all descriptors", one_is_closed)
         return clients
 
-    # Guards against clients taking the descriptors that notifications need.
+    # Guards against clients using up the descriptors that notifications need.
     def test_a_crowd_of_idle_clients_leaves_room_for_several_posts(self):
         self.config["limits"]["sockets"] = self.DESCRIPTORS
         self.discovery.on_post = self.discovery.hold
@@ -73,7 +73,7 @@
 
 
 class ThreadTest(ShortageTest):
-    # Guards against notifications that wait for a thread which can't be started.
+    # Guards against notifications that wait for a thread that cannot be started.
     def test_notifications_go_out_while_no_further_thread_can_be_started(self):
         self.discovery.on_post = lambda post: (
             self.discovery.hold(post) if post.number < HELD_POSTS else 204
@@ -86,7 +86,7 @@
         self.assert_read(messages)
         self.assert_confirmed(messages)
 
-    # Guards against one post that is held occupying the only thread.
+    # Guards against one unanswered post occupying the only thread.
     def test_an_unanswered_post_blocks_no_other_though_no_thread_can_be_started(self):
         self.discovery.on_post = self.discovery.hold
         self.start_with_admin()
@@ -99,7 +99,7 @@
 
 
 class CallTest(ShortageTest):
-    FAILURES = 5  # calls in a row
+    FAILURES = 5  # consecutive failed calls
     FAULTS = (
         ("socket", "ENFILE"),
         ("socket", "EMFILE"),
@@ -115,9 +115,9 @@
         ("poll", "ENOMEM"),
     )
 
-    # Guards against a call that fails for a while ending the posts for good.
+    # Guards against a temporarily failing call stopping the posts permanently.
     def test_notifications_are_confirmed_after_each_failed_call(self):
-        self.set_mode(Endpoint.HANG)  # no call to an endpoint is begun under a fault
+        self.set_mode(Endpoint.HANG)  # no call to an endpoint begins during a fault
         self.start_with_admin()
         for call, error in self.FAULTS:
             with self.subTest(call=call, error=error):
@@ -140,7 +140,7 @@
             try:
                 post.connection.shutdown(socket.SHUT_RDWR)
             except OSError:
-                pass  # it has ended before
+                pass  # the connection has already ended
 
 
 if __name__ == "__main__":
--- a/tests/faults/final_answer_test.py
+++ b/tests/faults/final_answer_test.py
@@ -1,7 +1,7 @@
 """The incident of 3 December 2026 on real processes: docs/incidents.
 
-Whatever becomes of one post of notifications, the notification of every other message
-that was given up reaches the agent, and each is confirmed at last.
+Whatever happens to one post of notifications, the notification of every other message
+that was given up reaches the agent, and each is eventually confirmed.
 """
 
 import time
@@ -12,7 +12,7 @@
 from agent import Agent
 from rig import Endpoint, FaultTest, wait_for
 
-NOTICE_LIMIT_S = 0.3  # behind the end of a message's time, by the protocol
+NOTICE_LIMIT_S = 0.3  # after a message's deadline, by the protocol
 
 
 class FinalAnswerTest(FaultTest):
@@ -25,12 +25,13 @@
         self.set_mode(Endpoint.REJECT)  # so that every message ends by its deadline
 
     def await_overdue(self, left_ms):
-        """The notification of each message handed in with this time is due."""
+        """Waits until notifications of messages submitted now with this time are
+        due."""
         due = time.monotonic() + left_ms / 1000 + NOTICE_LIMIT_S
         wait_for("the messages' time", lambda: time.monotonic() > due)
 
     def give_up_one(self):
-        """Hands a message in; its notification has reached the agent at the return."""
+        """Submits a message and waits until its notification reaches the agent."""
         message = self.put_accepted(left_ms=300)
         wait_for(
             "the notification of " + message, lambda: self.discovery.has_read(message)
@@ -43,15 +44,15 @@
 
 
 class HeldPostTest(FinalAnswerTest):
-    # Guards against one post that the agent does not answer holding back all others.
+    # Guards against one post that the agent does not answer blocking all others.
     def test_a_post_that_is_not_answered_holds_no_other_notification_back(self):
         self.discovery.on_post = self.discovery.hold
         self.start()
         for _ in range(3):
             self.give_up_one()
 
-    # Guards against an agent that answers later than a limit of ours being asked for
-    # ever.
+    # Guards against endless posts to an agent that answers later than a time limit of
+    # the forwarder.
     def test_an_agent_that_always_answers_late_confirms_at_last(self):
         def answer_late(post):
             self.discovery.release.wait(timeout=0.3)
@@ -65,8 +66,8 @@
 
 
 class RejectedPostTest(FinalAnswerTest):
-    # Guards against one line that the agent can't read holding back all that share its
-    # post.
+    # Guards against one line that the agent cannot read blocking all notifications in
+    # its post.
     def test_a_line_that_the_agent_rejects_holds_no_other_notification_back(self):
         rejected = "f" * 16
 
@@ -82,12 +83,12 @@
 
 
 class UndecidedTest(FinalAnswerTest):
-    # Guards against an owed message that nobody decides about outliving its deadline.
+    # Guards against a restored message without a decision outliving its deadline.
     def test_restored_messages_end_while_the_exclusions_cannot_be_read(self):
         forwarder = self.start()
         undelivered = [self.put_accepted(left_ms=1500) for _ in range(3)]
         forwarder.end()
-        (self.state / "exclusions").mkdir()  # can be opened, not read
+        (self.state / "exclusions").mkdir()  # can be opened but not read
         self.start_with_admin()
         for message in undelivered:
             wait_for("its notification", lambda: self.discovery.has_read(message))
@@ -96,15 +97,14 @@
 
 class SharedCallTest(FinalAnswerTest):
     SHORT_MS, LONG_MS = 1000, 20000
-    ANSWER_AFTER_S = 0.64  # from the call, which waits 0.2 s for others
+    ANSWER_AFTER_S = 0.64  # after the call, which waits 0.2 s for other messages
 
     def members(self, **phases):
-        """One endpoint, which takes several messages in a call."""
+        """Returns one endpoint, which accepts several messages in a call."""
         return [dict(m, flavor="bundle") for m in super().members(**phases)][:1]
 
-    # Guards against a call that the platform does not count, since it may have
-    # outlasted
-    # one of its messages, ending the others.
+    # Guards against a call ending its other messages without a notification when the
+    # platform does not count it because it may have outlasted one of its messages.
     def test_all_messages_of_a_call_that_ends_near_one_deadline_are_notified(self):
         endpoint = self.endpoints["a"]
         forwarder = self.start()
@@ -128,7 +128,7 @@
             return sizes == [2] and any(late in line for line in forwarder.log)
 
         endpoint.answer = answer_late
-        wait_for("a short message of a call that ends about its time", short_was_late)
+        wait_for("a call that ends near its short message's deadline", short_was_late)
         wait_for("the other's notification", lambda: self.discovery.has_read(pair[0]))
 
 
--- a/tests/faults/incident_test.py
+++ b/tests/faults/incident_test.py
@@ -1,7 +1,8 @@
 """The incident of 2 December 2026 on real processes: docs/incidents.
 
-A process must outlive the reader of its log and a fault of a moment at its start, and
-a new one must not send by the list of its configuration where discovery knows better.
+A process must survive the exit of its log reader and a transient fault at its start. A
+new process must not send by the endpoint list of its configuration where discovery has
+a newer list.
 """
 
 import os
@@ -17,7 +18,7 @@
     def test_a_process_outlives_the_reader_of_its_log(self):
         forwarder = self.start()
         forwarder.close_log_reader()
-        for _ in range(20):  # each connection's end is a line
+        for _ in range(20):  # each ended connection writes a log line
             self.assertEqual(self.ping(), "+PONG")
             self.put_accepted()
         self.assertTrue(forwarder.alive())
@@ -43,18 +44,18 @@
                 self.assertTrue(forwarder.alive())
                 self.assertGreater(self.faults.hits(rule), 0)
                 self.faults.end()
-                # The reader is back: it is told what it missed.
+                # The log works again: a line reports how many were dropped.
                 self.ping()
                 wait_for(
                     "the count",
                     lambda: any("log lines dropped" in line for line in forwarder.log),
                 )
-                self.assert_all_end()  # while there is a process that can
+                self.assert_all_end()  # while the process runs
                 forwarder.end()
 
     def test_files_do_not_reuse_closed_standard_descriptors(self):
-        """Otherwise the spool or a connection would get their number, and the log's
-        lines."""
+        """Otherwise the spool or a connection could get the descriptor number of the
+        log and receive its lines."""
         for closed in ("2>&-", "<&- >&- 2>&-"):
             with self.subTest(closed):
                 self.assert_spool_is_clean_without(closed)
@@ -83,8 +84,8 @@
 
 class KnownListTest(FaultTest):
     def accept_undelivered(self, count):
-        """Accepted messages that no endpoint has taken yet, left by a process that was
-        killed."""
+        """Returns accepted messages that no endpoint has accepted yet, left by a killed
+        process."""
         self.set_mode(Endpoint.REJECT)
         forwarder = self.start()
         undelivered = [self.put_accepted(left_ms=20000) for _ in range(count)]
@@ -99,7 +100,7 @@
                 undelivered = self.accept_undelivered(6)
                 self.endpoints["a"].delivered.clear()
                 self.announce_members(a=phase)
-                forwarder = self.start()  # its configuration still has `a` as ready
+                forwarder = self.start()  # its configuration still lists `a` as ready
                 for message in undelivered:
                     wait_for("the call", lambda: "b" in self.calls_of(message))
                 self.assertEqual(self.calls_to("a"), 0)
@@ -136,7 +137,7 @@
 
 
 class StartTest(FaultTest):
-    """A start meets a condition of a moment."""
+    """A system call fails a few times during the start."""
 
     def assert_start_survives(self, call, error, times):
         rule = self.faults.fail(call, error, times=times)
@@ -165,7 +166,7 @@
 
 class RunningTest(FaultTest):
     def test_a_local_failure_is_not_blamed_on_the_endpoint_or_the_client(self):
-        """Local conditions end no message and no connection of a client."""
+        """Local failures end no message and no client connection."""
         for call, error in (
             ("socket", "ENFILE"),
             ("connect", "EADDRNOTAVAIL"),
@@ -203,9 +204,9 @@
                 fields = stat.read().rsplit(")", 1)[1].split()
             return (int(fields[11]) + int(fields[12])) / ticks
 
-        # A poll that fails 50 times in a row is given up.
+        # The program gives up a poll that fails 50 times in a row.
         for call, times in (("epoll_wait", 200), ("poll", 40)):
-            # Without a connection the poll loop waits without end, and makes no call.
+            # Without a connection the poll loop waits indefinitely and makes no call.
             client = toy_server.Client(self.listen, timeout=rig.LIMIT)
             self.assertEqual(client.call("PING"), "+PONG")
             rule = self.faults.fail(call, "EINTR", times=times)
--- a/tests/faults/matrix_test.py
+++ b/tests/faults/matrix_test.py
@@ -1,11 +1,11 @@
-"""Every system call times errno times phase of a forwarder's life.
+"""Fails each system call with each of its errnos, in each phase of a forwarder's life.
 
     matrix_test.py [--write FILE] [--jobs N] [--only CALL] [--phases PHASE ...]
 
-A cell fails one call with one errno for a while, in one phase, and asks: is the process
-alive, did every accepted message end, was the next one served when the fault was over,
-and did no message that may not be repeated run twice? `--write` puts the table, with
-the time to the next service, into a page.
+A cell fails one call with one errno for a while, in one phase. It checks that the
+process stays alive, that every accepted message ends, that the next message is accepted
+soon after the fault, and that no message that may not be repeated runs twice. `--write`
+writes the table, with the time to the next accepted message, to a page.
 """
 
 import argparse
@@ -46,7 +46,7 @@
 IDLE_S = 30
 FAULT_S = 1.0
 SERVED_LIMIT_S = 1.0
-END_LIMIT_S = 25  # the longest time of a message is 20 s
+END_LIMIT_S = 25  # messages live at most 20 s
 ONCE = "c=once,t=acme"
 DEADLINE_MS = 8000
 PAGE_HEAD = """# Faults by call, errno and phase
@@ -56,14 +56,14 @@
 nothing in them is drawn at random, so there is no seed.
 
 A fault lasts %.0f s (in `shutdown`: until the process has ended), on every call of
-that name; of file calls on those below the state folder. `SHORT` moves 7 bytes at a
-time. `idle` is after %d s without a client, `load` under new messages without a pause,
-`reload` with SIGHUP, `shutdown` with SIGTERM, `restart` after SIGKILL.
+that name, for file calls only on files below the state folder. `SHORT` transfers 7
+bytes at a time. `idle` is after %d s without a client, `load` under a constant load of
+new messages, `reload` with SIGHUP, `shutdown` with SIGTERM, `restart` after SIGKILL.
 
-A cell is good if the process lives (`shutdown`: exits with 0), the first message after
-the fault is accepted within %.0f s, every accepted message is delivered or ends with a
-notice, and none runs twice, though its class may not be repeated. A number is the
-seconds to the first accepted message; `-` behind it: the call was not made.
+A cell passes if the process stays alive (`shutdown`: exits with 0), the first message
+after the fault is accepted within %.0f s, every accepted message is delivered or ends
+with a notice, and none runs twice, though its class may not be repeated. A number is
+the seconds to the first accepted message; `-` after it: the call was not made.
 
 """
 
@@ -84,10 +84,10 @@
 
 
 class MatrixRig(FaultTest):
-    """One cell's processes; used without a test runner."""
+    """Runs the processes of one cell, without a test runner."""
 
     def runTest(self):
-        """Needed to make one without a test method."""
+        """Needed to create an instance without a test method."""
 
     def setUp(self):
         super().setUp()
@@ -99,7 +99,7 @@
         self.stopped = threading.Event()
 
     def submit_once(self, timeout=2):
-        """Hands one message in that may not be repeated; its id if it was accepted."""
+        """Submits one message that may not be repeated. Returns its id if accepted."""
         message = uuid.uuid4().hex[:16]
         fields = ONCE + ",d=%d,k=%s,dest=%d" % (DEADLINE_MS, message, rig.DESTINATION)
         try:
@@ -119,7 +119,7 @@
         return message
 
     def load(self):
-        """Hands messages in until it is stopped."""
+        """Submits messages until `stopped` is set."""
         while not self.stopped.is_set():
             self.submit_once()
             time.sleep(0.02)
@@ -133,7 +133,7 @@
         loader.join()
 
     def await_service(self, limit):
-        """How long it takes until a message is accepted; None if it does not come."""
+        """Returns the seconds until a message is accepted; None after `limit`."""
         begun = time.monotonic()
         while time.monotonic() - begun < limit:
             if self.submit_once():
@@ -208,7 +208,7 @@
             if any(n["status"] == "deferred" for n in self.notices_of(message))
         ]
         if undeliverable:
-            failures.append("%d ran and were given back" % len(undeliverable))
+            failures.append("%d ran and were deferred" % len(undeliverable))
         return failures
 
 
@@ -217,7 +217,7 @@
     matrix_rig.setUp()
     try:
         return matrix_rig.play(cell, served_within)
-    except Exception as error:  # a cell that can't be played has failed
+    except Exception as error:  # a cell that cannot be played has failed
         return Verdict(cell, ["not played: %r" % error], 0, 0)
     finally:
         matrix_rig.doCleanups()
@@ -268,7 +268,9 @@
     parser.add_argument("--only")
     parser.add_argument("--served-within", type=float, default=SERVED_LIMIT_S)
     parser.add_argument("--phases", nargs="+", choices=PHASES, default=PHASES)
-    parser.add_argument("-v", action="store_true", help="ignored; as unittest has it")
+    parser.add_argument(
+        "-v", action="store_true", help="ignored; for compatibility with unittest"
+    )
     arguments = parser.parse_args()
     cells = all_cells(arguments.only, arguments.phases)
     verdicts = []
--- a/tests/faults/operator_test.py
+++ b/tests/faults/operator_test.py
@@ -1,5 +1,5 @@
-"""What operators say at the second address holds, whatever the list, the folder and the
-process do."""
+"""Operators' requests at the operator address stay in force, whatever happens to the
+endpoint list, the state folder and the process."""
 
 import signal
 import socket
@@ -10,7 +10,7 @@
 import rig
 from rig import Endpoint, FaultTable, FaultTest, admin_call, toy_server, wait_for
 
-# An answer is owed within 1 s; a machine that runs other tests beside gets some more.
+# An answer is due within 1 s; the limit allows for other tests on the same machine.
 ANSWER_LIMIT = 5  # s
 
 
@@ -37,7 +37,7 @@
             except OSError:
                 return False
 
-        wait_for("the second address", serves)
+        wait_for("the operator address", serves)
         return forwarder
 
     def assert_excluded(self, name="a", messages=10):
@@ -48,7 +48,8 @@
         self.assertEqual(self.calls_to(name), before)
 
     def assert_a_serves(self):
-        """`a` is cold after its return: the other one is out until it is called."""
+        """Checks that `a` gets calls. It is cold after its return, so `b` is excluded
+        until `a` is called."""
         self.assertEqual(self.enter("b"), 200)
         self.settle("a")
         self.assertEqual(self.exit("b"), 200)
@@ -155,7 +156,7 @@
         client = toy_server.Client(self.listen, timeout=rig.LIMIT)
         self.assertEqual(client.call("PING"), "+PONG")
         self.assertEqual(self.call("POST", "/standby"), 200)
-        self.assertEqual(client.read(), "")  # held idle no longer
+        self.assertEqual(client.read(), "")  # the idle connection is closed
         self.assertTrue(self.ping().startswith("-"))
         self.assertEqual(self.call("GET", "/status"), 200)
         self.assertEqual(self.call("POST", "/active"), 200)
@@ -170,7 +171,7 @@
         self.settle("a")
         self.assertEqual(self.enter(), 200)
         self.assert_excluded()
-        self.assertEqual(self.enter(), 200)  # twice out, one back
+        self.assertEqual(self.enter(), 200)  # entered twice, exited once
         self.assertEqual(self.exit(), 200)
         self.assert_a_serves()
 
@@ -186,7 +187,8 @@
         self.assertEqual(self.calls_to("a"), before)
 
     def test_messages_whose_endpoints_are_all_excluded_end_with_a_notice(self):
-        """Over a restart too, and also where they waited for one of these."""
+        """This also applies after a restart, and to messages that waited for one of the
+        excluded endpoints."""
         self.set_mode(Endpoint.REJECT)
         forwarder = self.start()
         self.put_accepted(left_ms=3000)
@@ -218,7 +220,7 @@
         self.announce_members(a="Terminating")
         self.assert_excluded(messages=3)
         self.assertEqual(self.exit(), 200)
-        self.assert_excluded(messages=5)  # by the list's word now
+        self.assert_excluded(messages=5)  # because of the list now
         self.announce_members()
         self.assert_a_serves()
 
@@ -299,7 +301,7 @@
 
 
 class KillTest(OperatorTest):
-    """A hundred rounds: SIGKILL at each step of going out and of coming back."""
+    """Sends SIGKILL at each step of entering and exiting maintenance, in 100 rounds."""
 
     ROUNDS = 100
     STEPS = [
@@ -310,7 +312,7 @@
     ] + [("pwrite", rig.KILL_HALFWAY, 0)]
 
     def try_call(self, request):
-        """The status; None if the process died before it answered."""
+        """Returns the status, or None if the process died before it answered."""
         try:
             return request()
         except OSError:
@@ -331,7 +333,7 @@
                     excluded = enters
                 forwarder.end()
                 forwarder = self.start()
-                if status is None:  # either may hold: say it again
+                if status is None:  # either state is possible: request it again
                     self.assertEqual(self.enter() if enters else self.exit(), 200)
                     excluded = enters
                 if excluded:
@@ -357,7 +359,7 @@
             for _ in range(20):
                 self.assertEqual(self.call("GET", "/status"), 200)
                 self.assertEqual(self.enter(), 200)
-                time.sleep(0.3)  # the grace of what was under way
+                time.sleep(0.3)  # the grace period of calls in flight
                 before = self.calls_to("a")
                 for _ in range(3):
                     self.put()
--- a/tests/faults/ownership_test.py
+++ b/tests/faults/ownership_test.py
@@ -1,8 +1,9 @@
-"""Two processes on one state folder, their crossings forced on real processes.
+"""Two processes on one state folder, with forced interleavings of real processes.
 
-A process that is started beside another one, which is ending or not, must neither lose
-nor repeat what that one has accepted, whatever either was doing at that moment.
-OWNERSHIP_ROUNDS in the environment repeats each crossing.
+A process that is started while another one still runs or shuts down must neither lose
+nor repeat the messages that the other one has accepted, whatever either is doing at
+that moment. The environment variable OWNERSHIP_ROUNDS sets how often each interleaving
+is repeated.
 """
 
 import os
@@ -18,7 +19,7 @@
 
 ROUNDS = int(os.environ.get("OWNERSHIP_ROUNDS", "1"))
 WAITING = "waiting for the state folder"
-LARGE_BODY = "x" * 40_000  # four of them, once delivered, make a compaction due
+LARGE_BODY = "x" * 40_000  # four such delivered messages trigger a compaction
 
 
 class OwnershipTest(FaultTest):
@@ -32,8 +33,8 @@
         return any(WAITING in line for line in forwarder.log)
 
     def start_successor(self):
-        """A process that has read what it reads at its start, and is held before it
-        listens; or one that waits for the other."""
+        """Starts a process that has read its files and is held before it listens, or
+        that waits for the other process."""
         held = self.successor_faults.fail("bind", rig.HOLD_BEFORE)
         successor = self.launch(faults=self.successor_faults)
         wait_for(
@@ -43,8 +44,8 @@
         return successor
 
     def start_without_address(self):
-        """A successor that has tried more than once to get the address, in vain.
-        The rule `address_rule` counts its tries."""
+        """Starts a successor that has failed more than once to bind the address. The
+        rule `address_rule` counts its attempts to bind."""
         self.address_rule = self.successor_faults.fail("bind", rig.OBSERVE)
         successor = self.launch(faults=self.successor_faults)
         wait_for(
@@ -54,13 +55,15 @@
         return successor
 
     def read_owner_file(self):
-        """What the owner of the folder has written into its file."""
+        """Returns what the owner of the folder has written into the owner file."""
         return (self.state / "owner").read_text()
 
     def assert_reads_owner_file(self, successor, process, open_messages):
-        """The successor has read this last word of its predecessor."""
+        """Checks that the successor has read its predecessor's last owner file."""
         expected = "predecessor=%d predecessor_open=%s" % (process.pid, open_messages)
-        wait_for("the note", lambda: any(expected in line for line in successor.log))
+        wait_for(
+            "the owner file", lambda: any(expected in line for line in successor.log)
+        )
 
     def release(self, successor):
         self.successor_faults.end()
@@ -77,7 +80,8 @@
             self.assertLessEqual(len(self.calls_of(message)), 1, message)
 
     def hand_over(self, predecessor, successor):
-        """The predecessor accepts more and dies, the successor serves and dies."""
+        """The predecessor accepts more messages and dies; the successor serves and
+        dies."""
         self.accept()
         predecessor.end()
         self.release(successor)
@@ -91,7 +95,7 @@
     def play(self, scenario):
         for number in range(ROUNDS):
             with self.subTest(round=number):
-                self.set_mode(Endpoint.REJECT)  # what is accepted stays owed
+                self.set_mode(Endpoint.REJECT)  # accepted messages stay undelivered
                 predecessor = self.start()
                 self.accept()
                 scenario(predecessor)
@@ -123,8 +127,8 @@
         self.overlap_write(rig.HOLD_BEFORE)
 
     def compact(self, seen):
-        """Hands messages in until the folder is compacted: the spool records the end of
-        a message some time behind its delivery."""
+        """Submits messages until the spool is compacted. The spool records the end of a
+        message some time after its delivery."""
         self.set_mode(Endpoint.TAKE)
 
         def compacted():
@@ -174,7 +178,7 @@
 
 
 class WaitTest(OwnershipTest):
-    """How long a process waits for the folder, and how that ends."""
+    """How long a process waits for the folder, and how the wait ends."""
 
     READY_S = 10  # after its predecessor's end
 
@@ -188,7 +192,7 @@
         self.assertLess(time.monotonic() - since, self.READY_S)
 
     def files(self):
-        """All files of the folder but the owner's note, as they are."""
+        """Returns the contents of all files in the folder except the owner file."""
         return {
             path.name: path.read_bytes()
             for path in self.state.iterdir()
@@ -309,7 +313,7 @@
                 predecessor.end()
                 rule = self.faults.fail("flock", error)
                 successor = self.start()
-                self.assertIsNone(self.put())  # rejected: nobody owns the spool
+                self.assertIsNone(self.put())  # rejected: no process owns the spool
                 self.assertGreater(self.faults.hits(rule), 1)
                 self.faults.end()
                 self.put_accepted()
@@ -346,7 +350,7 @@
         forwarder.end()
 
     def test_a_folder_that_could_not_be_locked_is_not_shared_later(self):
-        """The first process is without its lock when the second one gets it."""
+        """The first process has no lock when the second one gets it."""
         rule = self.faults.fail("flock", "ENOLCK")
         self.start()
         wait_for("a second try", lambda: self.faults.hits(rule) > 1)
@@ -363,7 +367,7 @@
 
 
 class UnlockedPredecessorTest(OwnershipTest):
-    """A predecessor of a version that knows no lock: it has the address alone."""
+    """The predecessor is of a version without locks: it only owns the address."""
 
     def start_unlocked(self):
         rule = self.faults.fail("flock", rig.FAKE_SUCCESS)
@@ -389,8 +393,8 @@
                 self.assert_all_end_once()
                 last.end()
 
-    # Guards against a successor that overwrites the note of a predecessor which lives,
-    # and so never learns how many messages that one has left open.
+    # Guards against a successor that overwrites the owner file of a living predecessor,
+    # and so never learns how many messages the predecessor left open.
     def test_a_successor_does_not_overwrite_a_living_predecessors_owner_file(self):
         for number in range(ROUNDS):
             with self.subTest(round=number):
@@ -410,8 +414,8 @@
                 successor.end()
                 self.accepted.clear()
 
-    # Guards against a start that locks the folder, does not get the address, and takes
-    # the last word of its predecessor with it.
+    # Guards against a start that locks the folder, does not get the address, and
+    # destroys the last owner file of its predecessor.
     def test_a_start_without_the_address_does_not_overwrite_the_owner_file(self):
         self.set_mode(Endpoint.REJECT)
         predecessor = self.start()
@@ -450,7 +454,7 @@
     def test_the_address_is_waited_for_as_long_as_a_shutdown_takes(self):
         predecessor = self.start_unlocked()
         successor = self.start_without_address()
-        for seconds in (10, 20):  # as if so much time had passed
+        for seconds in (10, 20):  # as if that time had passed
             self.successor_faults.step_monotonic_clock(seconds)
             seen = self.successor_faults.hits(self.address_rule)
             wait_for(
--- a/tests/faults/replacement_test.py
+++ b/tests/faults/replacement_test.py
@@ -1,4 +1,4 @@
-"""What one process was told by endpoints binds the one that replaces it."""
+"""Waits and warm-ups that one process knows of bind the process that replaces it."""
 
 import signal
 import time
@@ -8,18 +8,19 @@
 from replacement_rig import SteadyClient, ReplacementTest
 from rig import Endpoint, admin_call, wait_for
 
-WAIT_S = 8.0  # reaches beyond a graceful shutdown of 3.2 s and the next start
-SHORT_WAIT_S = 4.0  # for changes by SIGKILL, which take no time
+WAIT_S = 8.0  # outlasts a graceful shutdown of 3.2 s and the next start
+SHORT_WAIT_S = 4.0  # for replacements after SIGKILL, which take no time
 MESSAGES = 12
-WAIT_BINDS_AFTER_S = 0.1  # a wait binds from then on
-FORGET_AFTER_S = 1  # behind its removal: the longest time of a message
-HOUSEKEEPING_S = 1.5  # within which removed endpoints are looked at
+# A wait binds once this time has passed since it was requested.
+WAIT_BINDS_AFTER_S = 0.1
+FORGET_AFTER_S = 1  # after an endpoint's removal: maximum lifetime of a message
+HOUSEKEEPING_S = 1.5  # interval within which removed endpoints are checked
 NEW_VERSION_FILE = "conditions"
 
 
 class WaitTest(ReplacementTest):
     def begin_wait(self, wait_s, process=None):
-        """A process that was told to wait, with messages that wait for that."""
+        """Returns a process that was asked to wait and has messages waiting."""
         process = process or self.start_process()
         self.put_accepted()
         self.assert_all_end()
@@ -31,7 +32,7 @@
         return process
 
     def await_binding(self):
-        """All waits that were told bind from now on."""
+        """Waits until all requested waits bind."""
         requested_at = max(wait.requested_at for wait in self.requested_waits())
         wait_for(
             "the moment from which the wait binds",
@@ -39,7 +40,8 @@
         )
 
     def kill(self, process):
-        """The process that takes over from one that is killed once the wait binds."""
+        """Kills the process once the wait binds; returns the process that takes
+        over."""
         successor = self.start_successor()
         self.await_binding()
         process.end(signal.SIGKILL)
@@ -47,8 +49,8 @@
         return successor
 
     def await_end_of_wait(self):
-        """The wait ends under the process that serves now, which delivers."""
-        self.assertLess(time.monotonic(), self.opens_at, "the wait was over before")
+        """Waits until the wait ends, and for the current process to deliver."""
+        self.assertLess(time.monotonic(), self.opens_at, "the wait ended too early")
         wait_for("the end of the wait", lambda: time.monotonic() > self.opens_at)
         self.assert_all_end()
 
@@ -56,24 +58,24 @@
         self.await_end_of_wait()
         self.assert_waits_kept()
 
-    # Guards against the report 115bff: a destination is called by the process that
-    # takes over, in a wait that it had told the one before.
+    # Guards against report 115bff: the process that takes over called a destination
+    # during a wait that the destination had requested from its predecessor.
     def test_a_wait_binds_the_process_that_takes_over(self):
         self.replace(self.begin_wait(WAIT_S))
         self.assert_kept_to_its_end()
 
-    # Guards against a wait that only a graceful shutdown hands over.
+    # Guards against a wait that is only handed over by a graceful shutdown.
     def test_a_wait_binds_after_sigkill(self):
         self.kill(self.begin_wait(SHORT_WAIT_S))
         self.assert_kept_to_its_end()
 
-    # Guards against a wait that is handed over once only.
+    # Guards against a wait that is handed over only once.
     def test_a_wait_binds_the_successor_of_a_successor(self):
         successor = self.kill(self.begin_wait(SHORT_WAIT_S))
         self.kill(successor)
         self.assert_kept_to_its_end()
 
-    # Guards against a second process that spoils what it is to take over.
+    # Guards against a second process that damages the state that it is to take over.
     def test_a_wait_survives_a_second_process_that_dies_while_it_waits(self):
         process = self.begin_wait(SHORT_WAIT_S)
         for how in (signal.SIGKILL, signal.SIGTERM):
@@ -81,7 +83,7 @@
         self.kill(process)
         self.assert_kept_to_its_end()
 
-    # Guards against a wait that is forgotten with an endpoint that leaves the list.
+    # Guards against a wait being lost when its endpoint leaves the list.
     def test_a_wait_binds_while_its_endpoint_leaves_the_list_and_returns(self):
         self.config["settings"]["family-info"]["own-limits"] = [True, True]
         process = self.begin_wait(SHORT_WAIT_S)
@@ -94,8 +96,8 @@
         self.await_log(successor, "condition restored endpoint", 2)
         self.assert_kept_to_its_end()
 
-    # Guards against a wait that ends because the endpoint, gone for longer than any
-    # message lives, is taken for another one when it is listed again.
+    # Guards against a wait that ends because its endpoint was unlisted for longer than
+    # any message lives, and is treated as a new one when it is listed again.
     def test_a_wait_binds_though_its_endpoint_was_forgotten_meanwhile(self):
         self.config["settings"]["family-info"]["own-limits"] = [True, True]
         self.config["settings"]["classes"][0]["hard-limit"] = FORGET_AFTER_S * 10**9
@@ -115,14 +117,14 @@
             lambda: time.monotonic() > gone_at + FORGET_AFTER_S + HOUSEKEEPING_S,
         )
         self.announce_members()
-        for name in self.endpoints:  # it counts as one that was not known
+        for name in self.endpoints:  # each is treated as a new endpoint
             self.await_log(process, "endpoint listed id=" + name, 2)
         for _ in range(MESSAGES):
             self.put()
         self.assert_kept_to_its_end()
 
-    # Guards against a folder that fails or is full when the wait is told, and is well
-    # again when the next process starts.
+    # Guards against losing a wait when the folder fails or is full as the wait is
+    # requested, and has recovered when the next process starts.
     def test_a_wait_binds_though_the_folder_fails_when_it_is_requested(self):
         for error in ("EIO", "ENOSPC"):
             with self.subTest(error):
@@ -147,8 +149,8 @@
                     endpoint.hung.clear()
                     endpoint.waits.clear()
 
-    # Guards against a backlog that is sent at once, and against messages that are lost,
-    # where the predecessor left no conditions or damaged ones.
+    # Guards against sending the whole backlog at once, and against losing messages,
+    # when the predecessor left no conditions or damaged ones.
     def test_a_missing_or_damaged_record_costs_one_call_to_each_endpoint(self):
         def damage(path):
             stored = bytearray(path.read_bytes())
@@ -180,7 +182,8 @@
 
 class ColdTest(ReplacementTest):
     def play_return(self, change):
-        """An outage, the return, and a change of process once the return is known."""
+        """Plays an outage, the return, and `change` once the process knows of the
+        return."""
         process = self.start_process()
         client = SteadyClient(self)
         self.addCleanup(client.stop)
@@ -192,26 +195,26 @@
         self.judge_window(client, returned_at)
 
     def judge_window(self, client, returned_at):
-        """The load up to the end of a whole window behind now."""
+        """Checks the load until a full window after now has passed."""
         changed_at = time.monotonic()
         wait_for(
-            "a whole window behind the change",
+            "a full window after the change",
             lambda: time.monotonic() > changed_at + self.rules.window_s,
         )
         client.stop()
         self.assertLess(changed_at - returned_at, self.rules.warm_after_s)
         self.assert_within_cold_budget(returned_at)
 
-    # Guards against a judge that would accept or reject any load.
+    # Guards against a check that accepts or rejects every load.
     def test_a_return_without_a_change_of_process_is_within_the_budget(self):
         self.play_return(lambda process: None)
 
-    # Guards against the report 115bff: a destination that has come back cold gets the
-    # full load from the process that takes over, and falls again.
+    # Guards against report 115bff: a destination that came back cold got the full load
+    # from the process that took over, and collapsed again.
     def test_a_cold_destination_gets_reduced_load_after_a_takeover(self):
         self.play_return(self.replace)
 
-    # Guards against endpoints that come back from maintenance cold, and get the full
+    # Guards against endpoints that come back cold from maintenance and get the full
     # load from the process that takes over.
     def test_a_return_from_maintenance_gets_reduced_load_after_a_takeover(self):
         self.config["admin"] = self.admin
@@ -237,7 +240,7 @@
         self.replace(process, signal.SIGKILL)
         self.judge_window(client, returned_at)
 
-    # Guards against a return that only a graceful shutdown hands over.
+    # Guards against a return that is only handed over by a graceful shutdown.
     def test_a_cold_destination_gets_reduced_load_after_sigkill(self):
         self.play_return(lambda process: self.replace(process, signal.SIGKILL))
 
--- a/tests/faults/signal_test.py
+++ b/tests/faults/signal_test.py
@@ -1,4 +1,4 @@
-"""Signals at any moment, and a configuration that can't be read."""
+"""Signals at any moment, and a configuration that cannot be read."""
 
 import json
 import os
@@ -18,7 +18,7 @@
         self.assert_all_end()
 
     def test_reloads_during_a_start_do_not_end_it(self):
-        """The start waits for its listener, so the signals come before it serves."""
+        """The start waits for its listener, so the signals arrive before it serves."""
         rule = self.faults.fail("bind", "EADDRINUSE")
         forwarder = self.launch()
         wait_for("the start", lambda: self.faults.hits(rule) > 0)
@@ -46,7 +46,7 @@
         )
 
     def test_an_exit_logs_its_reason_and_has_a_distinct_status(self):
-        """The numbers are those of sysexits.h."""
+        """The status numbers come from sysexits.h."""
         for name, change, status in (
             ("bad file", lambda config: config.pop("settings"), 78),
             ("bad address", lambda config: config.update(listen="nowhere"), 78),
--- a/tests/faults/unasked_answer_test.py
+++ b/tests/faults/unasked_answer_test.py
@@ -1,8 +1,8 @@
-"""A second answer that nobody asked for, on a kept connection.
+"""A second, unsolicited answer on a persistent connection.
 
-It comes between the look at the connection and the writing, or behind the request and
-ahead of its answer. HTTP/1.1 has nothing by which such an answer could be told from the
-one to the next call or post.
+It arrives between the check of the connection and the write of the next request, or
+after that request and before its answer. HTTP/1.1 offers no way to distinguish such an
+answer from the answer to the next call or post.
 """
 
 import socket
@@ -18,11 +18,11 @@
 
 
 class UnaskedAnswerOfAgentTest(final_answer_agent_test.AgentThatAnswersTwice):
-    # Guards against a post being confirmed by an answer that was there before it.
+    # Guards against a post being confirmed by an answer that arrived before the post.
     def test_an_answer_that_comes_before_a_post_is_written_does_not_confirm_it(self):
         self.start_with_admin()
         self.confirm_one()
-        self.set_mode(Endpoint.HANG)  # nothing but the post is sent behind the call
+        self.set_mode(Endpoint.HANG)  # after the call only the post is sent
         message = self.put_accepted(left_ms=800)
         wait_for("its call", lambda: self.hangs(message))
         rule = self.faults.fail("send", HOLD_BEFORE, times=1)
@@ -33,7 +33,7 @@
 
 
 class UnaskedAnswerOfEndpointTest(final_answer_delivery_test.EndpointThatAnswersTwice):
-    # Guards against a call being ended by an answer that was there before it was
+    # Guards against a call being ended by an answer that arrived before the call was
     # written.
     def test_an_answer_that_comes_before_a_call_is_written_does_not_end_it(self):
         self.start_with_admin()
@@ -47,7 +47,8 @@
         self.assert_final(message)
 
     def await_second_call(self):
-        """A message whose call waits on the kept connection, and that connection."""
+        """Returns a message whose call waits on the persistent connection, and that
+        connection."""
         self.start_with_admin()
         self.deliver_first()
         message = self.put_accepted(left_ms=3000)
@@ -55,8 +56,8 @@
         self.assertTrue(connection.recv(1, socket.MSG_PEEK))
         return message, connection
 
-    # Guards against an answer that nobody asked for ending a call that was sent before
-    # it came.
+    # Guards against an unsolicited answer ending a call that was sent before it
+    # arrived.
     def test_the_real_answer_after_an_unsolicited_one_is_read(self):
         message, connection = self.await_second_call()
         rule = self.faults.fail("recv", HOLD_AFTER)
@@ -68,7 +69,7 @@
         self.faults.end()
         self.assert_final(message)
 
-    # Guards against the same where both are read at once.
+    # Guards against the same failure when both answers are read at once.
     def test_the_real_answer_together_with_an_unsolicited_one_is_read(self):
         message, connection = self.await_second_call()
         connection.sendall(OK + BUSY)
