--- a/tests/compatibility/fleet_control.py
+++ b/tests/compatibility/fleet_control.py
@@ -61,7 +61,7 @@
 
 
 def _exchange(fleet, name, request):
-    """One request to a member's control socket; all that it replies."""
+    """Sends a request to a member's control socket. Returns the masked reply."""
     path = fleet.folder / name / "fleet" / "control"
     with socket.socket(socket.AF_UNIX) as client:
         client.settimeout(LIMIT_SECONDS)
@@ -77,7 +77,7 @@
 
 
 def control_replies():
-    """The reply to each kind of request, good and bad."""
+    """Records the reply to each kind of request, valid and invalid."""
     text = ""
     with state_folders.copy_of("fleet") as folder:
         with state_folders.Fleet(folder) as fleet:
@@ -92,7 +92,7 @@
 
 
 def _wait_for_quorum(fleet):
-    """Waits until all members vote and n0 hears both others."""
+    """Waits until all members may vote and n0 has working links to both others."""
     for name in state_folders.FLEET_NAMES:
         fleet.wait_for(name, "votes=yes", "status")
     fleet.ask_until_done("n0", "maintenance", "hold", "yes")
@@ -104,7 +104,7 @@
 
 
 def control_reply_without_quorum():
-    """The reply to a command that no quorum settles."""
+    """Records the reply to a command without a quorum."""
     request = b"POST /fleet/maintenance/hold?on=no HTTP/1.1\r\n\r\n"
     with state_folders.copy_of("fleet") as folder:
         with state_folders.Fleet(folder, names=("n0",)) as fleet:
--- a/tests/compatibility/golden.py
+++ b/tests/compatibility/golden.py
@@ -1,4 +1,4 @@
-"""What is compared with stored text: for each text, how it is recorded anew."""
+"""Maps each stored text to the function that records the current output for it."""
 
 import fleet_control
 import peer_frames
@@ -36,5 +36,5 @@
 
 
 def path_of(name):
-    """Where the stored text stands."""
+    """Returns the path of the stored text."""
     return DATA / "golden" / (name + ".txt")
--- a/tests/compatibility/golden_case.py
+++ b/tests/compatibility/golden_case.py
@@ -1,4 +1,4 @@
-"""A test case that compares recordings with stored text."""
+"""A test case that compares recorded output with stored text."""
 
 import unittest
 
--- a/tests/compatibility/make_data.py
+++ b/tests/compatibility/make_data.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Makes the data that the compatibility tests read, from a given binary.
+"""Generates the data that the compatibility tests read, with a given binary.
 
 The stored data was made by the program at commit 052a23f:
 
@@ -7,10 +7,11 @@
     python3 tests/compatibility/make_data.py build-tests/brassfront \\
         build-tests/policy_simulator [PART ...]
 
-Parts are spool, fleet, zone, simulator and golden; all of them if none is named.
-`golden` writes what the given program reads in the stored data and says on the wire.
-The data says what earlier programs did: it is made anew only where a later program is
-meant to differ, and then the commit says in what. """
+Parts are spool, fleet, zone, simulator and golden; without PART all are generated.
+`golden` records what the given program reads in the stored data and sends on the wire.
+The data shows what earlier programs did. Regenerate it only where a later program is
+meant to differ; the commit then explains the difference.
+"""
 
 import argparse
 import base64
@@ -39,7 +40,7 @@
 from recording_server import FULL, NOTICE, OK, SINGLE_CALL, RecordingServer
 
 FLEET_FILES = ("member", "known", "settled", "settled.snapshot")
-TORN_BYTES = 20  # that are left of the spool's last record, which was being written
+TORN_BYTES = 20  # length of the torn record at the end of the spool
 
 
 def replace_folder(name):
@@ -53,13 +54,16 @@
 
 
 def make_spool():
-    """Messages delivered, retried, given up and still open; and a torn record."""
+    """Generates a spool with delivered, retried, given-up and open messages.
+
+    The last record is torn.
+    """
     with RecordingServer() as server, tempfile.TemporaryDirectory() as folder:
         _leave_spool(server, folder)
         data = (pathlib.Path(folder) / "spool").read_bytes()
     payloads, rest = spool_file.records(data)
     if rest:
-        raise AssertionError("the program left a torn record of its own")
+        raise AssertionError("the program itself left a torn record")
     last = len(payloads[-1]) + spool_file.FRAME.size
     torn = data[-last:][:TORN_BYTES]
     folder = replace_folder("spool")
@@ -68,7 +72,8 @@
 
 
 def _wait_for_deadlines(folder):
-    """What is read in the spool later must not depend on how much later."""
+    """Waits for all deadlines, so that the time of reading the spool does not
+    matter."""
     _, listing = run("spool", "--state", folder)
     latest = max(map(int, re.findall(r"deadline_unix_ms=(\d+)", listing)))
     wait_until("the deadlines", lambda: time.time() * 1000 > latest)
@@ -125,7 +130,7 @@
 
 
 def make_fleet():
-    """Three members: n0 is out, n1 waits for it, and one request is over."""
+    """Generates three members: n0 is out, n1 waits for n0, one request has ended."""
     with tempfile.TemporaryDirectory() as folder:
         with state_folders.Fleet(folder) as fleet:
             _settle_requests(fleet)
@@ -187,7 +192,7 @@
 
 
 def make_zone():
-    """A zone that was read from a file and then changed by updates."""
+    """Generates a zone that was read from a file and then changed by updates."""
     folder = replace_folder("zone")
     (folder / "example.zone").write_text(ZONE_TEXT)
     (folder / "server.records").write_text(NAME_SERVER % ZONE_KEY_TEXT)
--- a/tests/compatibility/peer_frames.py
+++ b/tests/compatibility/peer_frames.py
@@ -1,10 +1,10 @@
 """Records the datagrams that a fleet member sends to its peers.
 
-The member n0 starts from a copy of its stored folder; this program holds the addresses
-of n1 and n2 and speaks for them. A frame is its length, a version, the kind, three
-names (fleet, sender, receiver), the sender's identity and incarnation, a body that
-differs by kind, and an HMAC-SHA256 with the fleet's key. Numbers have their high byte
-first.
+The member n0 starts from a copy of its stored folder. This program binds the addresses
+of n1 and n2 and sends frames on their behalf. A frame consists of its length, a
+version, the kind, three names (fleet, sender, receiver), the sender's identity and
+incarnation, a body that depends on the kind, and an HMAC-SHA256 with the fleet's key.
+Numbers are big-endian.
 """
 
 import concurrent.futures
@@ -37,11 +37,11 @@
 PING, ACK, PING_REQUEST, LOG, ASK, NEWS = 1, 2, 3, 4, 6, 8
 NEWS_ASKED, NEWS_TOLD = 1, 2
 
-# The types of messages of the replicated log.
+# Message types of the replicated log.
 APPEND_ENTRIES, REQUEST_VOTE, REQUEST_VOTE_RESULT = 1, 3, 4
 
 AGAIN_SECONDS = 0.2
-INCARNATION = 5 << 20  # of the peers that are spoken for: their fifth start
+INCARNATION = 5 << 20  # of the simulated peers n1 and n2: their fifth start
 
 
 def name_field(name):
@@ -49,7 +49,7 @@
 
 
 class Frame:
-    """One decoded frame; its length and its signature were right."""
+    """One decoded frame with a valid length and signature."""
 
     def __init__(self, data):
         (length,) = struct.unpack_from(">I", data)
@@ -67,7 +67,7 @@
 
 
 def encode(kind, sender, identity, incarnation, body):
-    """A frame of a peer's to n0."""
+    """Encodes a frame from a peer to n0."""
     head = bytes([VERSION, kind])
     head += b"".join(name_field(name) for name in ("tests", sender, "n0"))
     head += struct.pack(">QQ", identity, incarnation) + body
@@ -76,12 +76,12 @@
 
 
 def no_gossip(*parts):
-    """A detector's body that ends without news of other members."""
+    """Encodes a failure detector's body without news of other members."""
     return b"".join(parts) + b"\0"
 
 
 class Peers:
-    """Speaks for n1 and n2; pings to the members in `answering` are acknowledged."""
+    """Simulates n1 and n2. Acknowledges pings to the members in `answering`."""
 
     def __init__(self, fleet):
         self.answering = set()
@@ -108,13 +108,14 @@
         self.sockets[sender].sendto(data, self.n0)
 
     def be_alive(self):
-        """Both members deny that they are dead."""
+        """Both members refute that they are dead, by a higher incarnation."""
         for name in self.sockets:
             self.incarnations[name] += 1
             self.send(name, PING, no_gossip(bytes(4)))
 
     def wait_for(self, what, condition, again=lambda: None):
-        """The first frame that fulfils the condition; calls `again` until it comes."""
+        """Returns the first frame that meets the condition; calls `again` until
+        then."""
         end = time.monotonic() + LIMIT_SECONDS
         next_time = 0
         while time.monotonic() < end:
@@ -127,7 +128,7 @@
         raise AssertionError("no " + what)
 
     def answer_until(self, what, condition, again):
-        """Answers probes until the condition holds, which may take long to look at."""
+        """Answers probes until the condition holds. Checking it may take long."""
         end = time.monotonic() + LIMIT_SECONDS
         with concurrent.futures.ThreadPoolExecutor(1) as other_thread:
             while time.monotonic() < end:
@@ -140,7 +141,7 @@
         raise AssertionError("no " + what)
 
     def _receive(self):
-        """Acknowledges and returns the frames that have come, after a short wait."""
+        """Acknowledges and returns the frames that arrive within a short wait."""
         ready, _, _ = select.select(list(self.sockets.values()), [], [], 0.1)
         frames = [Frame(each.recv(65536)) for each in ready]
         for frame in frames:
@@ -155,7 +156,8 @@
 
 
 def show(title, frame, *body):
-    """One frame; its body as given, for parts of it differ from run to run."""
+    """Formats one frame. `body` replaces its body, parts of which differ between
+    runs."""
     fleet, sender, receiver = frame.names
     parts = [part.hex() if isinstance(part, bytes) else part for part in body]
     return (
@@ -176,7 +178,7 @@
 
 
 def frames():
-    """A frame of each kind that a member without sharing sends."""
+    """Records one frame of each kind that a member without sharing sends."""
     with state_folders.copy_of("fleet") as folder:
         fleet = state_folders.Fleet(folder, names=("n0",))
         with Peers(fleet) as peers, fleet:
@@ -215,7 +217,7 @@
 
 
 def _frames_to_leader(peers):
-    """What the member sends once n1 says that n1 leads."""
+    """Records the frames that the member sends once n1 claims to be the leader."""
     told = bytes([NEWS_TOLD]) + struct.pack(">Q", 0) + name_field("n1") + bytes(4)
 
     def tell():
@@ -230,9 +232,9 @@
 
 
 def _ping_request(fleet, peers):
-    """n2 answers, n1 has fallen silent: n2 is asked to ping n1."""
+    """Records the request to n2 to ping n1, while n2 answers and n1 does not."""
     peers.answering = {"n1", "n2"}
-    # While it doubts its own links, the member gives others more time.
+    # While it doubts its own links, the member allows others more time.
     peers.answer_until(
         "trust in its own links",
         lambda: "doubt=0 " in fleet.ask("n0", "members"),
@@ -261,14 +263,15 @@
 
 
 def _grant_vote(peers, request, last_field):
-    """n2 grants the vote; the last field tells a pre-vote (1) from a vote (2)."""
+    """Grants n2's vote. `last_field` is 1 for a pre-vote and 2 for a vote."""
     term = request.body[9:17]
     body = struct.pack(">QB", request.identity, REQUEST_VOTE_RESULT) + term
     peers.send("n2", LOG, body + bytes([1, last_field]))
 
 
 def _log_frames(peers):
-    """An election that n2's vote decides, and the first message of the new leader."""
+    """Records an election that n2's vote decides, and the new leader's first
+    entries."""
     asked = bytes([NEWS_ASKED]) + struct.pack(">QQ", 0, 5)
     pre_vote = _log_message(peers, "pre-vote", lambda b: _is_vote_request(b, 1))
     news = peers.wait_for(
--- a/tests/compatibility/program.py
+++ b/tests/compatibility/program.py
@@ -1,7 +1,8 @@
 """Starts the program under test on loopback and talks to it.
 
-The environment variable BRASSFRONT names the binary. No fixed ports; every wait is for
-a condition, with a limit that only a failure reaches. """
+The environment variable BRASSFRONT names the binary. No ports are fixed. Every wait is
+for a condition, with a time limit that is only reached on failure.
+"""
 
 import json
 import os
@@ -17,7 +18,7 @@
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 DATA = pathlib.Path(__file__).resolve().parent / "data"
 LIMIT_SECONDS = 60
-# Of a line in the text form; `log` holds lines without it.
+# Timestamp of a log line in text format; `log` holds lines without it.
 TIME = re.compile(r"^\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z \+\d+ms ")
 
 # Messages of this class are not repeated once an attempt may have run.
@@ -36,7 +37,7 @@
 
 
 def run(*arguments):
-    """Runs one command to its end: its exit status and what it printed."""
+    """Runs one command. Returns its exit status and output."""
     done = subprocess.run(
         [binary(), *map(str, arguments)],
         capture_output=True,
@@ -47,26 +48,26 @@
 
 
 def wait_until(what, condition):
-    """Returns the first true value of the condition; fails after the limit."""
+    """Returns the first true value of the condition; fails after the time limit."""
     end = time.monotonic() + LIMIT_SECONDS
     while True:
         value = condition()
         if value:
             return value
         if time.monotonic() > end:
-            raise AssertionError("waited in vain for " + what)
+            raise AssertionError("timed out waiting for " + what)
         time.sleep(0.02)
 
 
 def closed_address():
-    """An address on which nothing listens, and the socket that reserves it."""
+    """Returns an address on which nothing listens, and the socket that reserves it."""
     reserved = socket.socket()
     reserved.bind(("127.0.0.1", 0))
     return "127.0.0.1:%d" % reserved.getsockname()[1], reserved
 
 
 def endpoint(name, address, kind="single", destination=1, phase="Ready"):
-    """One member of a discovery list."""
+    """Returns one member of a discovery list."""
     return {
         "id": name,
         "host_port": address,
@@ -80,7 +81,7 @@
 
 
 class Forwarder:
-    """One `brassfront serve` with its state folder."""
+    """One `brassfront serve` process with its state folder."""
 
     def __init__(
         self, folder, discovery, members, name="n0", workers=8, options=(), **limits
@@ -127,7 +128,7 @@
         return RespConnection(self.address)
 
     def end(self, how=signal.SIGKILL):
-        """Ends the process; its exit status."""
+        """Ends the process. Returns its exit status."""
         if self.process.poll() is None:
             self.process.send_signal(how)
         status = self.process.wait(timeout=LIMIT_SECONDS)
@@ -140,7 +141,7 @@
 
 
 def encode_command(*words):
-    """A RESP command of bulk strings."""
+    """Encodes a RESP command of bulk strings."""
     out = b"*%d\r\n" % len(words)
     for word in words:
         data = word if isinstance(word, bytes) else word.encode()
@@ -149,7 +150,7 @@
 
 
 def encode_put(message, destination, body, time_left_ms=20000, keyed=True):
-    """The command that submits one message."""
+    """Encodes the command that submits one message."""
     message_class = "plan-event" if keyed else UNKEYED_CLASS["name"]
     fields = "c=%s,t=acme,d=%d" % (message_class, time_left_ms)
     if keyed:
@@ -159,7 +160,7 @@
 
 
 class RespConnection:
-    """A client's connection; replies are returned as the bytes that came."""
+    """A client's connection; replies are returned as raw bytes."""
 
     def __init__(self, address):
         host, port = address.rsplit(":", 1)
@@ -178,7 +179,7 @@
         return self.read_reply()
 
     def read_reply(self):
-        """One reply; empty if the connection was closed."""
+        """Returns one reply, or an empty one if the connection was closed."""
         try:
             line = self.file.readline()
             if line.startswith(b"$"):
--- a/tests/compatibility/recording_server.py
+++ b/tests/compatibility/recording_server.py
@@ -1,5 +1,7 @@
-"""Endpoint, discovery and notification receiver in one, which keeps requests as
-bytes."""
+"""A server that acts as endpoint, discovery and notification receiver.
+
+It records requests as bytes.
+"""
 
 import json
 import socketserver
@@ -21,7 +23,7 @@
 
 
 class RecordingServer(socketserver.ThreadingTCPServer):
-    """`answer` maps a request's bytes to the reply's; None closes the connection."""
+    """`answer` maps a request to a reply, both bytes; None closes the connection."""
 
     allow_reuse_address = True
     daemon_threads = True
@@ -32,9 +34,10 @@
         self.changed = threading.Condition()
         self.requests = []
         self.watch_generation = 0
-        self.refuse_notices_with = None  # bytes; such notices are never confirmed
+        # Notices that contain these bytes are never confirmed.
+        self.refuse_notices_with = None
         self.answer = answer or (lambda request: OK)
-        # No list yet: the forwarder goes on with that of its configuration.
+        # No list yet: the forwarder keeps using the list of its configuration.
         self.list = {"revision": 0, "complete": True, "members": []}
         threading.Thread(target=self.serve_forever, daemon=True).start()
 
@@ -56,7 +59,7 @@
             self.changed.notify_all()
 
     def end_watches(self):
-        """Ends the watches that are open; new ones stay."""
+        """Ends the open watches; later ones stay open."""
         with self.changed:
             self.watch_generation += 1
             self.changed.notify_all()
@@ -67,7 +70,7 @@
             self.changed.notify_all()
 
     def of(self, start, containing=b""):
-        """The requests that begin with the given text."""
+        """Returns the requests that begin with `start` and contain `containing`."""
         with self.changed:
             return [
                 request
@@ -76,7 +79,7 @@
             ]
 
     def wait_for(self, start, count=1, containing=b""):
-        """The requests of one kind, once there are as many."""
+        """Returns the requests of one kind once there are at least `count`."""
         with self.changed:
             if not self.changed.wait_for(
                 lambda: len(self.of(start, containing)) >= count, LIMIT_SECONDS
@@ -85,7 +88,7 @@
             return self.of(start, containing)
 
     def handle_error(self, request, client_address):
-        """The program may end any connection."""
+        """Ignores errors: the program may end any connection."""
 
 
 class _Handler(socketserver.StreamRequestHandler):
@@ -121,7 +124,8 @@
         return request + self.rfile.read(length)
 
     def _stream_lists(self, request):
-        """Keeps a watch open: a list for each change, an empty line else."""
+        """Keeps a watch open: sends a list for each change, and empty lines
+        otherwise."""
         self.wfile.write(STREAM_HEAD)
         sent = int(request.split(b"from=")[1].split()[0])
         generation = self.server.watch_generation
--- a/tests/compatibility/simulator_script.py
+++ b/tests/compatibility/simulator_script.py
@@ -1,9 +1,9 @@
-"""Makes the script of frames that the simulator is fed, by playing a small site against
-it.
+"""Generates the simulator's input frames by running a small site against the simulator.
 
-The site answers what the program asks for: attempts are settled with outcomes drawn
-from a fixed seed, health checks and timers come back. Frames that were played once are
-stored, so that the test feeds the same bytes to any later program. """
+The site answers the simulator's requests: it settles attempts with random outcomes from
+a fixed seed, and returns results of health checks and expired timers. The frames of one
+run are stored, so that the test sends the same bytes to every later program.
+"""
 
 import heapq
 import random
@@ -65,7 +65,7 @@
     1: {"discovery": "ask", "group-size": 2, "limits.may-cancel": "false"},
     2: {"discovery": "push", "group-size": 12, "family-info.loses-worth": "line"},
 }
-# Endpoint, destination, zone and kind.
+# (endpoint, destination, zone, kind)
 ENDPOINTS = (
     ("e_a", 1, 0, 0),
     ("e_b", 1, 1, 0),
@@ -74,7 +74,7 @@
     ("e_e", 3, 0, 0),
 )
 FAULTS = (255, 254, 253, 252, 251)  # error, full, timeout, connect failed, reset
-OUTAGE = range(40, 80)  # the frames in which destination 1 mostly fails
+OUTAGE = range(40, 80)  # frames during which most attempts to destination 1 fail
 
 
 def line(name, **fields):
@@ -87,7 +87,7 @@
 
 
 class Site:
-    """Plays requests, endpoints and timers, and keeps the script that came of it."""
+    """Simulates requests, endpoints and timers, and records the frames as a script."""
 
     def __init__(self, program):
         self.random = random.Random(SEED)
@@ -104,7 +104,7 @@
         self.frame = 0
 
     def play(self):
-        """Returns the script."""
+        """Runs all frames. Returns the script."""
         for self.frame in range(FRAMES):
             self.exchange(self.events())
             self.now += FRAME_STEP
@@ -229,5 +229,5 @@
 
 
 def make(program):
-    """Plays the site against a simulator."""
+    """Runs the site against a simulator. Returns the script."""
     return Site(program).play()
--- a/tests/compatibility/simulator_transcripts.py
+++ b/tests/compatibility/simulator_transcripts.py
@@ -26,7 +26,8 @@
 
 
 def reply_to(script):
-    """All that the simulator prints for a script, its own name masked in errors."""
+    """Returns the simulator's output for a script; errors have the program name
+    masked."""
     done = subprocess.run(
         [os.environ["POLICY_SIMULATOR"]],
         input=script,
@@ -38,12 +39,12 @@
 
 
 def replies_to_stored_frames():
-    """The actions for the stored frames of several instances."""
+    """Returns the actions for the stored frames of several instances."""
     return reply_to(SCRIPT.read_bytes())
 
 
 def errors_for_bad_scripts():
-    """What the simulator prints for scripts that it cannot take."""
+    """Returns the simulator's output for invalid scripts."""
     return "".join(
         "# %r\n%s\n" % (script, reply_to(script.encode())) for script in BAD_SCRIPTS
     )
--- a/tests/compatibility/spool_file.py
+++ b/tests/compatibility/spool_file.py
@@ -1,9 +1,8 @@
-"""Shifts the times in a stored spool, so that an old one reads as if it had just been
-left.
+"""Shifts the times in a stored spool to the present, as if it had just been written.
 
-The file is `BRSPOOL1` and then records: length and CRC-32 of the payload, four bytes
-each, and the payload. Numbers have their low byte first; texts have a length of four
-bytes in front. A payload begins with its kind and the message's number of eight bytes.
+The file is `BRSPOOL1` followed by records: length and CRC-32 of the payload, four bytes
+each, and the payload. Numbers are little-endian; a text is preceded by its length in
+four bytes. A payload begins with its kind and the message's number of eight bytes.
 """
 
 import struct
@@ -19,7 +18,7 @@
 
 
 def records(data):
-    """The payloads of the whole records, and what is left behind them."""
+    """Returns the payloads of the complete records, and the bytes after them."""
     payloads = []
     at = len(MAGIC)
     while at + FRAME.size <= len(data):
@@ -38,7 +37,7 @@
 
 
 def _time_offset(payload):
-    """Where the payload's time stands; None if it has none."""
+    """Returns the offset of the payload's time, or None if it has no time."""
     if payload[:1] == ATTEMPT_BEGUN:
         return _skip_text(payload, HEAD_BYTES)
     if payload[:1] != ACCEPTED:
@@ -50,7 +49,8 @@
 
 
 def shift_to_now(data):
-    """The same spool, its newest attempt begun at this moment."""
+    """Returns the spool with its times shifted so that its newest attempt begins
+    now."""
     payloads, rest = records(data)
     begun = [
         TIME.unpack_from(payload, _time_offset(payload))[0]
--- a/tests/compatibility/state_folders.py
+++ b/tests/compatibility/state_folders.py
@@ -28,7 +28,7 @@
 
 @contextlib.contextmanager
 def copy_of(name):
-    """A copy of one folder of the test data, removed at the end."""
+    """Provides a temporary copy of one folder of the test data."""
     with tempfile.TemporaryDirectory() as parent:
         folder = pathlib.Path(parent) / name
         shutil.copytree(DATA / name, folder)
@@ -39,7 +39,7 @@
 
 
 def spool_members(address):
-    """An endpoint for each destination of the stored spool."""
+    """Returns an endpoint for each destination of the stored spool."""
     return [
         endpoint("at-%d" % destination, address, destination=destination)
         for destination in range(1, 7)
@@ -47,7 +47,7 @@
 
 
 def spool_listing():
-    """What `brassfront spool` prints; the folder stays as it was."""
+    """Records what `brassfront spool` prints. Checks that the spool does not change."""
     with copy_of("spool") as folder:
         before = (folder / "spool").read_bytes()
         status, text = run("spool", "--state", folder)
@@ -61,7 +61,7 @@
 
 
 def spool_after_its_deadlines():
-    """The notices that a forwarder sends for a spool whose times have passed."""
+    """Records the notices that a forwarder sends for a spool after its deadlines."""
     with RecordingServer() as server, copy_of("spool") as folder:
         forwarder = Forwarder(folder, server.address, spool_members(server.address))
         try:
@@ -79,7 +79,7 @@
 
 
 def spool_soon_after_the_end():
-    """The calls that a forwarder makes for a spool that was left a moment ago."""
+    """Records the calls that a forwarder makes for a spool that was just written."""
     with RecordingServer() as server, copy_of("spool") as folder:
         path = folder / "spool"
         path.write_bytes(spool_file.shift_to_now(path.read_bytes()))
@@ -108,7 +108,7 @@
 
 
 class Fleet:
-    """Members that share a folder, each with its state in a folder of its name."""
+    """Fleet members whose state folders are named after them, in a common folder."""
 
     def __init__(self, folder, names=FLEET_NAMES):
         self.folder = pathlib.Path(folder)
@@ -156,12 +156,12 @@
         )
 
     def ask(self, name, *words):
-        """The exit status of a control request to one member, and its reply."""
+        """Sends a control request to one member. Returns its exit status and reply."""
         status, text = run("fleet", *words, "--state", self.folder / name)
         return "status %d\n%s" % (status, text)
 
     def ask_until_done(self, name, *words):
-        """A control request, again until a quorum has settled it."""
+        """Repeats a control request until a quorum has settled it."""
         return wait_until(
             " ".join(words),
             lambda: next(
@@ -170,7 +170,7 @@
         )
 
     def wait_for(self, name, text, *words):
-        """The reply of one member, once it holds the text."""
+        """Returns the reply of one member once it contains the text."""
         return wait_until(
             "%s at %s" % (text, name),
             lambda: next((r for r in [self.ask(name, *words)] if text in r), None),
@@ -178,7 +178,7 @@
 
 
 def free_datagram_ports(count):
-    """Ports that are free now; all are held until the last is known."""
+    """Returns free ports. All are reserved until the last one is known."""
     with contextlib.ExitStack() as stack:
         ports = []
         for _ in range(count):
@@ -195,7 +195,7 @@
 
 
 class NameServer:
-    """One `brassfront zone serve` that keeps the zone in a folder."""
+    """One `brassfront zone serve` process that stores the zone in a folder."""
 
     def __init__(self, folder):
         self.folder = pathlib.Path(folder)
@@ -238,14 +238,14 @@
 
 
 def zone_contents():
-    """The zone that a stored journal and snapshot hold, and the endpoints it lists."""
+    """Records the zone in a stored journal and snapshot, and its endpoints."""
     with copy_of("zone") as folder:
         show_zone = ("zone", "show", folder / "kept", "--origin", ZONE)
         return _command(*show_zone) + _command(*show_zone, "--endpoints")
 
 
 def zone_server_replies():
-    """A name server's replies about a stored zone: records, history, next change."""
+    """Records a name server's replies on a stored zone: records, history, an update."""
     with copy_of("zone") as folder, NameServer(folder) as server:
         return (
             server.query(ZONE, "SOA")
@@ -258,7 +258,7 @@
 
 
 def zone_with_torn_journal():
-    """The zone whose journal ends in half an entry."""
+    """Records the zone whose journal ends in an incomplete entry."""
     with copy_of("zone") as folder:
         journal = folder / "kept" / "journal"
         os.truncate(journal, journal.stat().st_size - 5)
@@ -269,7 +269,7 @@
 
 
 def member_identity(folder):
-    """The identity and the count of starts that a member's folder holds."""
+    """Returns the identity and the start count stored in a member's folder."""
     _, identity, starts, _ = (folder / "fleet" / "member").read_text().split()
     return identity, int(starts)
 
@@ -281,7 +281,7 @@
 
 
 def fleet_member_alone():
-    """What one member knows from its folder while no quorum can be reached."""
+    """Records what one member knows from its folder without a quorum."""
     with copy_of("fleet") as folder:
         identity, starts = member_identity(folder / "n0")
         with Fleet(folder, names=("n0",)) as fleet:
@@ -295,7 +295,7 @@
 
 
 def fleet_from_replicated_log():
-    """What all members agree on once they have only their replicated logs."""
+    """Records what all members agree on when only their replicated logs are left."""
     with copy_of("fleet") as folder:
         for name in FLEET_NAMES:
             (folder / name / "fleet" / "known").unlink()
--- a/tests/compatibility/state_test.py
+++ b/tests/compatibility/state_test.py
@@ -1,8 +1,9 @@
-"""State folders that the program left at commit 052a23f, read by the program under
-test.
+"""Reads state folders from commit 052a23f with the program under test.
 
-Copies of the stored folders are opened, and what the program reads in them is compared
-with what it read then. The environment variable BRASSFRONT names the binary. """
+The program opens copies of the stored folders, and what it reads in them is compared
+with what the program of that commit read. The environment variable BRASSFRONT names the
+binary.
+"""
 
 import unittest
 
--- a/tests/compatibility/transcripts.py
+++ b/tests/compatibility/transcripts.py
@@ -1,8 +1,9 @@
-"""Records what the program says on the wire, as text that can be compared.
+"""Records the program's wire output as text that can be compared.
 
-Each function plays one fixed scenario and returns its transcript. Bytes are shown as
-Python literals, one line of the protocol a line. Fields that differ from run to run are
-masked by name. """
+Each function runs one fixed scenario and returns its transcript. Bytes are shown as
+Python literals, one for each line of the protocol. Fields that differ from run to run
+are masked by name.
+"""
 
 import re
 import signal
@@ -35,13 +36,13 @@
 
 
 def show(title, data):
-    """One message of a transcript."""
+    """Formats one message of a transcript."""
     lines = mask(data).splitlines(keepends=True)
     return "".join(["# %s\n" % title] + ["%r\n" % line for line in lines]) + "\n"
 
 
 class Scenario:
-    """One forwarder between a client and one server that is everything else."""
+    """One forwarder with a client, and one server that plays all other parts."""
 
     def __init__(self, answer=None, address=None, **options):
         self.server = RecordingServer(answer)
@@ -66,7 +67,7 @@
         self.folder.cleanup()
 
     def submit(self, *arguments, **options):
-        """Submits a message, again as long as the admission gate rejects it."""
+        """Submits a message repeatedly until the admission gate accepts it."""
         _submit(self.client, *arguments, **options)
 
 
@@ -113,7 +114,7 @@
 
 
 def resp_replies():
-    """The reply to each kind of command."""
+    """Records the reply to each kind of command."""
     text = ""
     with Scenario() as scenario:
         for title, command in RESP_COMMANDS:
@@ -134,7 +135,7 @@
 
 
 def resp_reply_when_full():
-    """The reply while as many messages are held as may be."""
+    """Records the reply when the maximum number of messages is open."""
     address, reserved = closed_address()
     with reserved, Scenario(address=address, **{"open-cap": 3}) as scenario:
         replies = [
@@ -148,7 +149,7 @@
 
 
 def call_with_one_message():
-    """The call that carries one message, its body being all byte values."""
+    """Records a call with one message, whose body contains all byte values."""
     with Scenario() as scenario:
         scenario.submit("message-1", 1, bytes(range(256)))
         calls = scenario.server.wait_for(recording_server.SINGLE_CALL)
@@ -156,7 +157,7 @@
 
 
 def call_with_several_messages():
-    """The call that carries two messages that waited while the only worker was busy."""
+    """Records a call with two messages that waited while the only worker was busy."""
     with Scenario(workers=1) as scenario:
 
         def answer(request):
@@ -180,7 +181,7 @@
 
 
 def health_check():
-    """The request that tests an endpoint which failed."""
+    """Records the health check of an endpoint that failed."""
     with Scenario(answer=lambda request: None) as scenario:
         scenario.submit("message-1", 1, "body")
         checks = scenario.server.wait_for(recording_server.HEALTH_CHECK)
@@ -188,7 +189,7 @@
 
 
 def notice_of_a_deferred_message():
-    """The notice of a message whose time passed before anything ran."""
+    """Records the notice of a message whose deadline passed before it could run."""
     address, reserved = closed_address()
     with reserved, Scenario(address=address) as scenario:
         scenario.submit("late", 1, "body", time_left_ms=300)
@@ -197,7 +198,8 @@
 
 
 def notice_of_an_undeliverable_message():
-    """The notice of a message that may have run and was not confirmed in time."""
+    """Records the notice of a message that may have run but was not confirmed in
+    time."""
     with Scenario(answer=lambda request: None) as scenario:
         scenario.submit("doubtful", 1, "body", keyed=False)
         notices = scenario.server.wait_for(recording_server.NOTICE)
@@ -205,7 +207,8 @@
 
 
 def discovery_watch():
-    """The first watch request, and the one after a list came and the watch ended."""
+    """Records the first watch request, and the next one after a list and the watch's
+    end."""
     with Scenario() as scenario:
         first = scenario.server.wait_for(recording_server.WATCH)[0]
         address = scenario.server.address
--- a/tests/compatibility/wire_test.py
+++ b/tests/compatibility/wire_test.py
@@ -1,8 +1,8 @@
-"""What the program says on the wire, byte by byte against what it said at commit
-052a23f.
+"""Compares the program's wire output byte by byte with that of commit 052a23f.
 
 Fields that differ from run to run are masked by name; see transcripts.py. The
-environment variables BRASSFRONT and POLICY_SIMULATOR name the binaries. """
+environment variables BRASSFRONT and POLICY_SIMULATOR name the binaries.
+"""
 
 import unittest
 
--- a/tests/integration/forwarder_test.py
+++ b/tests/integration/forwarder_test.py
@@ -1,7 +1,7 @@
 """Starts the program on loopback and talks to it.
 
-No fixed ports, and no verdict depends on speed: each wait has a long limit that only a
-failure reaches.
+It uses no fixed ports, and no check depends on speed: each wait has a long time limit
+that is only reached on failure.
 """
 
 import json
@@ -24,7 +24,7 @@
 
 PROGRAM = os.environ["BRASSFRONT"]
 LIMIT = 60  # s
-# Of a line in the text form; `log` holds lines without it.
+# Timestamp of a log line in text format; `log` holds lines without it.
 TIME = re.compile(r"^\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z \+\d+ms ")
 
 
@@ -88,7 +88,7 @@
         return self.clients[-1]
 
     def end(self, how):
-        """The exit status, once all of the log is read."""
+        """Ends the process. Returns its exit status after all of the log is read."""
         if self.process.poll() is None:
             self.process.send_signal(how)
         status = self.process.wait(timeout=LIMIT)
@@ -120,7 +120,7 @@
         end = time.monotonic() + LIMIT
         with self.toy.changed:
             while not condition():
-                self.assertLess(time.monotonic(), end, "waited in vain for " + what)
+                self.assertLess(time.monotonic(), end, "timed out waiting for " + what)
                 self.toy.changed.wait(timeout=0.2)
 
     def calls_of(self, message):
@@ -130,7 +130,7 @@
         return [n["status"] for n in self.toy.notices if n["id"] == message]
 
     def dead_address(self):
-        """An address on which nothing listens, kept from others by a bound socket."""
+        """Returns an address on which nothing listens, reserved by a bound socket."""
         reserved = socket.socket()
         self.addCleanup(reserved.close)
         reserved.bind(("127.0.0.1", 0))
@@ -154,7 +154,7 @@
         end = time.monotonic() + LIMIT
         while max([c["bundle"] for c in self.toy.calls], default=0) < 2:
             self.assertLess(time.monotonic(), end)
-            for i in range(5):  # fewer than the gate would turn away
+            for i in range(5):  # few enough that the admission gate accepts all
                 message, answer = client.put(2, "body %d" % i)
                 self.assertEqual(answer, "+OK")
                 sent[message] = b"body %d" % i
@@ -182,7 +182,7 @@
         self.assertLess(len(ended), 5)
         self.assertTrue(any("side=client" in line for line in forwarder.log))
 
-    # ---- spoilt answers ----
+    # ---- malformed answers ----
 
     def test_a_malformed_answer_is_a_failure_whatever_its_status(self):
         malformed = [
@@ -221,7 +221,7 @@
                 self.assertEqual(len(self.calls_of(message)), 1)
                 self.assertEqual(self.notices_of(message), [])
 
-    # ---- refusal ----
+    # ---- rejections and notices ----
 
     def test_an_undelivered_message_ends_with_a_notice_until_confirmed(self):
         self.toy.refused_notices = 2
@@ -234,7 +234,7 @@
         self.wait_for("the notice", lambda: self.notices_of(message))
         self.assertEqual(self.notices_of(message), ["deferred"])
         self.assertEqual(self.toy.refused_notices, 0)
-        # The end is kept as well: the next process owes nothing.
+        # The end is recorded as well: the next process restores nothing.
         self.wait_for("the end", lambda: "0 owed" in self.spool())
         forwarder.end(signal.SIGKILL)
         self.assertIn("restored messages=0", self.start().log)
@@ -290,12 +290,13 @@
         for client in slow_clients[::2]:
             client.socket.sendall(b"*5\r\n$7\r\nMSG")
         answer, end = "-BUSY", time.monotonic() + LIMIT
-        while answer.startswith("-BUSY"):  # in the very moment of such a crowd
+        # Rejections are possible while so many clients connect.
+        while answer.startswith("-BUSY"):
             self.assertLess(time.monotonic(), end)
             message, answer = forwarder.client().put(1, "x")
         self.assertEqual(answer, "+OK")
         self.wait_for("the call", lambda: self.calls_of(message))
-        for client in slow_clients:  # each gets an error, or just the close
+        for client in slow_clients:  # each gets an error, or the connection is closed
             self.assertRegex(client.read(), "^(-.*)?$")
 
     def test_malformed_bytes_get_an_error_and_the_close(self):
@@ -345,7 +346,8 @@
             ]
         )
         client = forwarder.client()
-        # The watch delivers the list: once the new endpoint is called, the old is not.
+        # The watch delivers the list: after the first call to `b`, `a` gets no more
+        # calls.
         end = time.monotonic() + LIMIT
         while not other.calls:
             self.assertLess(time.monotonic(), end)
@@ -427,7 +429,7 @@
         )
         self.assertEqual(
             forwarder.client().put(1, "x")[1], "+OK"
-        )  # the platform's list has it
+        )  # the platform lists the destination
 
     def test_a_bad_operator_file_fails_with_the_place_of_the_error(self):
         path = pathlib.Path(self.folder) / "config.json"
@@ -464,7 +466,7 @@
         return other
 
     def test_after_sighup_lists_and_unconfirmed_notices_use_the_new_address(self):
-        self.toy.refused_notices = 1 << 30  # the old address hears none
+        self.toy.refused_notices = 1 << 30  # the old address refuses all
         unreachable = [
             member(self.toy, "gone", 1, "single", address=self.dead_address())
         ]
@@ -586,7 +588,7 @@
             members=[member(self.toy, "e%d" % i, i, "single") for i in range(1, 13)]
         )
         self.wait_for("the ends", lambda: "\n0 owed" in "\n" + self.spool())
-        # A slow machine may see a call repeated, with its key; none is left out.
+        # On a slow machine a call may be repeated with its key; no message is left out.
         self.assertEqual(
             {c["id"] for c in self.toy.calls}, {message for message, _ in accepted}
         )
@@ -614,7 +616,7 @@
         self.wait_for("the call", lambda: self.calls_of(message))
 
     def test_after_sigterm_it_answers_delivers_and_exits(self):
-        # What is held for a dead endpoint keeps it from leaving at once.
+        # A message to a dead endpoint keeps the forwarder from exiting at once.
         unreachable = member(self.toy, "gone", 3, "single", address=self.dead_address())
         forwarder = self.start(
             members=[member(self.toy, "single", 1, "single"), unreachable]
--- a/tests/scripts/run_tests_test.py
+++ b/tests/scripts/run_tests_test.py
@@ -1,4 +1,4 @@
-"""How scripts/run_tests.py counts tests, and what it makes of the known red ones."""
+"""Checks how scripts/run_tests.py counts tests and handles KNOWN-RED.txt."""
 
 import pathlib
 import subprocess
@@ -17,7 +17,7 @@
         self.folder = pathlib.Path(folder.name)
 
     def make_build(self, name, labels=None, **tests):
-        """A build folder whose tests are the given programs."""
+        """Creates a build folder whose tests are the given programs."""
         (self.folder / name).mkdir()
         lines = ["add_test(%s %s)" % test for test in tests.items()]
         for test, label in (labels or {}).items():
@@ -46,14 +46,14 @@
         done = self.run_tests("--build", "plain", "--build", "other")
         self.assert_ends(done, 0, "3 passed, 0 failed")
 
-    # Guards against a failure in one build being lost behind a later one that passes.
+    # Guards against a failure in one build being hidden by a later build that passes.
     def test_a_failed_test_of_any_build_fails_the_run(self):
         self.make_build("plain", One=PASSES, Two=FAILS)
         self.make_build("other", One=PASSES)
         done = self.run_tests("--build", "plain", "--build", "other")
         self.assert_ends(done, 1, "2 passed, 1 failed")
 
-    # Guards against a run without tests passing.
+    # Guards against passing a run without tests.
     def test_a_build_without_tests_fails_the_run(self):
         self.make_build("plain")
         done = self.run_tests("--build", "plain")
@@ -65,7 +65,7 @@
         self.assertIn("test: Red failed, as KNOWN-RED.txt says", done.stdout)
         self.assert_ends(done, 0, "1 passed, 0 failed")
 
-    # Guards against a listed test that a build leaves out being told to have failed.
+    # Guards against reporting a listed test as failed where a build leaves it out.
     def test_a_listed_test_that_a_build_leaves_out_is_absent_there(self):
         self.make_build("plain", One=PASSES, Red=FAILS)
         self.make_build("other", labels={"Red": "slow"}, One=PASSES, Red=FAILS)
@@ -77,14 +77,14 @@
         self.assertEqual(done.stdout.count("is absent here"), 1, done.stdout)
         self.assert_ends(done, 0, "2 passed, 0 failed")
 
-    # Guards against a misspelt or vanished test of the list passing for a known one.
+    # Guards against accepting a misspelt or removed test name in the list.
     def test_a_listed_test_that_no_build_has_fails_the_run(self):
         self.make_build("plain", One=PASSES)
         done = self.run_tests("--build", "plain", known_red="Reed: seen: issue 1\n")
         self.assertIn("no build has it", done.stdout)
         self.assert_ends(done, 1, "1 passed, 0 failed")
 
-    # Guards against a failure that is played by hand excusing a test of CTest.
+    # Guards against an entry for a manual test ("by hand") excusing a CTest test.
     def test_a_line_by_hand_is_no_test(self):
         self.make_build("plain", One=FAILS)
         line = "by hand: One: seen: issue 1\n"
