--- a/tests/compatibility/fleet_control.py
+++ b/tests/compatibility/fleet_control.py
@@ -96,10 +96,10 @@
     for name in state_folders.FLEET_NAMES:
         fleet.wait_for(name, "votes=yes", "status")
     fleet.ask_until_done("n0", "maintenance", "hold", "yes")
-    wait_until("links", lambda: _whole_links(fleet) == 2)
+    wait_until("links", lambda: _working_links(fleet) == 2)
 
 
-def _whole_links(fleet):
+def _working_links(fleet):
     return fleet.ask("n0", "members").count("state=alive  link=whole")
 
 
--- a/tests/compatibility/peer_frames.py
+++ b/tests/compatibility/peer_frames.py
@@ -107,7 +107,7 @@
         data = encode(kind, sender, self.identities[sender], incarnation, body)
         self.sockets[sender].sendto(data, self.n0)
 
-    def be_alive(self):
+    def refute_death(self):
         """Both members refute that they are dead, by a higher incarnation."""
         for name in self.sockets:
             self.incarnations[name] += 1
@@ -195,7 +195,7 @@
         "ping", lambda frame: frame.kind == PING and frame.names[2] == "n1"
     )
     text = show("a ping", ping, "<number>", "<gossip>")
-    own_word = name_field("n1") + b"\x01" + struct.pack(">Q", INCARNATION)
+    own_gossip = name_field("n1") + b"\x01" + struct.pack(">Q", INCARNATION)
 
     def is_ack(frame):
         return frame.kind == ACK and frame.names[2] == "n1"
@@ -204,9 +204,9 @@
     peers.send("n1", PING, no_gossip(number))
     ack = peers.wait_for("ack", is_ack)
     gossip_at = len(number) + 1
-    if own_word not in ack.body[gossip_at + 1 :]:
+    if own_gossip not in ack.body[gossip_at + 1 :]:
         raise AssertionError("the member does not tell n1 what it knows of n1")
-    text += show("an ack", ack, ack.body[:gossip_at], "<gossip>", own_word)
+    text += show("an ack", ack, ack.body[:gossip_at], "<gossip>", own_gossip)
 
     about = struct.pack(">I", 8) + name_field("n2")
     peers.send("n1", PING_REQUEST, no_gossip(about))
@@ -218,14 +218,16 @@
 
 def _frames_to_leader(peers):
     """Records the frames that the member sends once n1 claims to be the leader."""
-    told = bytes([NEWS_TOLD]) + struct.pack(">Q", 0) + name_field("n1") + bytes(4)
+    leader_news = (
+        bytes([NEWS_TOLD]) + struct.pack(">Q", 0) + name_field("n1") + bytes(4)
+    )
 
-    def tell():
+    def announce_leader():
         peers.send("n1", PING, no_gossip(struct.pack(">I", 9)))
-        peers.send("n1", NEWS, told)
+        peers.send("n1", NEWS, leader_news)
 
-    ask = peers.wait_for("command", lambda frame: frame.kind == ASK, tell)
-    news = peers.wait_for("news", lambda frame: frame.kind == NEWS, tell)
+    ask = peers.wait_for("command", lambda frame: frame.kind == ASK, announce_leader)
+    news = peers.wait_for("news", lambda frame: frame.kind == NEWS, announce_leader)
     return show("a command for the leader", ask, ask.body) + show(
         "a request for news", news, news.body
     )
@@ -238,11 +240,11 @@
     peers.answer_until(
         "trust in its own links",
         lambda: "doubt=0 " in fleet.ask("n0", "members"),
-        peers.be_alive,
+        peers.refute_death,
     )
     peers.answering = {"n2"}
     request = peers.wait_for(
-        "ping request", lambda frame: frame.kind == PING_REQUEST, peers.be_alive
+        "ping request", lambda frame: frame.kind == PING_REQUEST, peers.refute_death
     )
     about = request.body[4 : 4 + len(name_field("n1"))]
     return show("a ping request", request, "<number>", about, "<gossip>")
@@ -254,7 +256,7 @@
         lambda frame: frame.kind == LOG
         and frame.names[2] == "n2"
         and condition(frame.body),
-        peers.be_alive,
+        peers.refute_death,
     )
 
 
@@ -272,12 +274,12 @@
 def _log_frames(peers):
     """Records an election that n2's vote decides, and the new leader's first
     entries."""
-    asked = bytes([NEWS_ASKED]) + struct.pack(">QQ", 0, 5)
+    news_request = bytes([NEWS_ASKED]) + struct.pack(">QQ", 0, 5)
     pre_vote = _log_message(peers, "pre-vote", lambda b: _is_vote_request(b, 1))
     news = peers.wait_for(
         "news",
         lambda frame: frame.kind == NEWS and frame.body[0] == NEWS_TOLD,
-        lambda: peers.send("n2", NEWS, asked),
+        lambda: peers.send("n2", NEWS, news_request),
     )
     _grant_vote(peers, pre_vote, 1)
     vote = _log_message(peers, "vote", lambda b: _is_vote_request(b, 0))
--- a/tests/compatibility/recording_server.py
+++ b/tests/compatibility/recording_server.py
@@ -64,7 +64,7 @@
             self.watch_generation += 1
             self.changed.notify_all()
 
-    def keep(self, request):
+    def record(self, request):
         with self.changed:
             self.requests.append(request)
             self.changed.notify_all()
@@ -97,7 +97,7 @@
             request = self._read_request()
             if not request:
                 return
-            self.server.keep(request)
+            self.server.record(request)
             if request.startswith(WATCH.encode()):
                 return self._stream_lists(request)
             answer = self._answer_to(request)
--- a/tests/compatibility/simulator_script.py
+++ b/tests/compatibility/simulator_script.py
@@ -141,18 +141,18 @@
     def list_changes(self):
         if self.frame == 60:
             text = self.register(1, ENDPOINTS[3:4], "Stopping")
-            return text + self.tell_all(stamp=2, page=1, form="patch")
+            return text + self.notify_instances(stamp=2, page=1, form="patch")
         if self.frame == 90:
             text = self.register(1, ENDPOINTS[3:4], "Deleted")
-            return text + self.tell_all(stamp=3, page=1, form="patch")
+            return text + self.notify_instances(stamp=3, page=1, form="patch")
         if self.frame == 100:
             return line("DISCOVERY", who=1, stamp=3, page=0, form="broken")
         if self.frame == 120:
             text = self.register(2, ENDPOINTS + (("e_f", 3, 1, 0),))
-            return text + self.tell_all(stamp=4, page=2, form="whole")
+            return text + self.notify_instances(stamp=4, page=2, form="whole")
         return ""
 
-    def tell_all(self, **fields):
+    def notify_instances(self, **fields):
         return "".join(line("DISCOVERY", who=who, **fields) for who in INSTANCES)
 
     def request(self):
@@ -186,15 +186,15 @@
             if not text:
                 raise AssertionError("the simulator ended in frame %d" % self.frame)
             name, *parts = text.split("\t")
-            self.take(name, dict(part.split("=", 1) for part in parts))
+            self.handle_action(name, dict(part.split("=", 1) for part in parts))
 
-    def take(self, name, action):
+    def handle_action(self, name, action):
         if name == "TRY":
             self.settle(action)
         elif name == "SET_TIMER":
-            back = {"who": action["who"], "key-back": action["key-back"]}
+            expired = {"who": action["who"], "key-back": action["key-back"]}
             delay = max(0, int(action["moment"]) - self.now)
-            self.later(delay, line_of("TIMER", back))
+            self.later(delay, line_of("TIMER", expired))
         elif name == "HEALTH_CHECK":
             reason = 252 if self.frame in OUTAGE else 0
             fields = {"who": action["who"], "endpoint": action["endpoint"]}
