--- a/tests/faults/soak_actions.py
+++ b/tests/faults/soak_actions.py
@@ -22,7 +22,7 @@
 AGENT_FAULT_S = (0.5, 2.5)
 HOLD_POSTS_S = 0.5  # lasts beyond the next unread window
 HELD_POSTS_S = 0.04  # time in that window before the agent moves
-CROWD = 120  # idle connections
+IDLE_CLIENTS = 120
 SIGNALS_TO_END = (signal.SIGTERM, signal.SIGINT, signal.SIGQUIT)
 
 
@@ -236,13 +236,13 @@
             self.drain_spans.append((name, self.excluded.pop(name), asked_at))
 
     def act_crowd(self):
-        self.note("crowd")
-        crowd = []
-        for _ in range(CROWD):
+        self.note("idle clients")
+        idle_clients = []
+        for _ in range(IDLE_CLIENTS):
             try:
-                crowd.append(rig.toy_server.Client(self.listen, timeout=1))
+                idle_clients.append(rig.toy_server.Client(self.listen, timeout=1))
             except OSError:
                 break
         time.sleep(0.3)
-        for client in crowd:
+        for client in idle_clients:
             client.close()
