--- a/tests/compatibility/fleet_control.py
+++ b/tests/compatibility/fleet_control.py
@@ -92,7 +92,7 @@
 
 
 def _wait_for_quorum(fleet):
-    """Waits until all members may vote and n0 has working links to both others."""
+    """Waits until all members vote and n0 has working links to both others."""
     for name in state_folders.FLEET_NAMES:
         fleet.wait_for(name, "votes=yes", "status")
     fleet.ask_until_done("n0", "maintenance", "hold", "yes")
--- a/tests/compatibility/peer_frames.py
+++ b/tests/compatibility/peer_frames.py
@@ -218,13 +218,11 @@
 
 def _frames_to_leader(peers):
     """Records the frames that the member sends once n1 claims to be the leader."""
-    leader_news = (
-        bytes([NEWS_TOLD]) + struct.pack(">Q", 0) + name_field("n1") + bytes(4)
-    )
+    claim = bytes([NEWS_TOLD]) + struct.pack(">Q", 0) + name_field("n1") + bytes(4)
 
     def announce_leader():
         peers.send("n1", PING, no_gossip(struct.pack(">I", 9)))
-        peers.send("n1", NEWS, leader_news)
+        peers.send("n1", NEWS, claim)
 
     ask = peers.wait_for("command", lambda frame: frame.kind == ASK, announce_leader)
     news = peers.wait_for("news", lambda frame: frame.kind == NEWS, announce_leader)
