--- a/tests/compatibility/simulator_script.py
+++ b/tests/compatibility/simulator_script.py
@@ -1,9 +1,9 @@
-"""Makes the script of frames that the simulator is fed, by playing a small site against
-it.
+"""Generates the simulator's input frames by running a small site against the simulator.
 
-The site answers what the program asks for: attempts are settled with outcomes drawn
-from a fixed seed, health checks and timers come back. Frames that were played once are
-stored, so that the test feeds the same bytes to any later program. """
+The site answers the simulator's requests: it settles attempts with random outcomes from
+a fixed seed, and returns results of health checks and expired timers. The frames of one
+run are stored, so that the test sends the same bytes to every later program.
+"""
 
 import heapq
 import random
@@ -65,7 +65,7 @@
     1: {"discovery": "ask", "group-size": 2, "limits.may-cancel": "false"},
     2: {"discovery": "push", "group-size": 12, "family-info.loses-worth": "line"},
 }
-# Endpoint, destination, zone and kind.
+# (endpoint, destination, zone, kind)
 ENDPOINTS = (
     ("e_a", 1, 0, 0),
     ("e_b", 1, 1, 0),
@@ -74,7 +74,7 @@
     ("e_e", 3, 0, 0),
 )
 FAULTS = (255, 254, 253, 252, 251)  # error, full, timeout, connect failed, reset
-OUTAGE = range(40, 80)  # the frames in which destination 1 mostly fails
+OUTAGE = range(40, 80)  # frames during which most attempts to destination 1 fail
 
 
 def line(name, **fields):
@@ -87,7 +87,7 @@
 
 
 class Site:
-    """Plays requests, endpoints and timers, and keeps the script that came of it."""
+    """Simulates requests, endpoints and timers, and records the frames as a script."""
 
     def __init__(self, program):
         self.random = random.Random(SEED)
@@ -104,7 +104,7 @@
         self.frame = 0
 
     def play(self):
-        """Returns the script."""
+        """Runs all frames. Returns the script."""
         for self.frame in range(FRAMES):
             self.exchange(self.events())
             self.now += FRAME_STEP
@@ -141,18 +141,18 @@
     def list_changes(self):
         if self.frame == 60:
             text = self.register(1, ENDPOINTS[3:4], "Stopping")
-            return text + self.tell_all(stamp=2, page=1, form="patch")
+            return text + self.notify_instances(stamp=2, page=1, form="patch")
         if self.frame == 90:
             text = self.register(1, ENDPOINTS[3:4], "Deleted")
-            return text + self.tell_all(stamp=3, page=1, form="patch")
+            return text + self.notify_instances(stamp=3, page=1, form="patch")
         if self.frame == 100:
             return line("DISCOVERY", who=1, stamp=3, page=0, form="broken")
         if self.frame == 120:
             text = self.register(2, ENDPOINTS + (("e_f", 3, 1, 0),))
-            return text + self.tell_all(stamp=4, page=2, form="whole")
+            return text + self.notify_instances(stamp=4, page=2, form="whole")
         return ""
 
-    def tell_all(self, **fields):
+    def notify_instances(self, **fields):
         return "".join(line("DISCOVERY", who=who, **fields) for who in INSTANCES)
 
     def request(self):
@@ -186,15 +186,15 @@
             if not text:
                 raise AssertionError("the simulator ended in frame %d" % self.frame)
             name, *parts = text.split("\t")
-            self.take(name, dict(part.split("=", 1) for part in parts))
+            self.handle_action(name, dict(part.split("=", 1) for part in parts))
 
-    def take(self, name, action):
+    def handle_action(self, name, action):
         if name == "TRY":
             self.settle(action)
         elif name == "SET_TIMER":
-            back = {"who": action["who"], "key-back": action["key-back"]}
+            expired = {"who": action["who"], "key-back": action["key-back"]}
             delay = max(0, int(action["moment"]) - self.now)
-            self.later(delay, line_of("TIMER", back))
+            self.later(delay, line_of("TIMER", expired))
         elif name == "HEALTH_CHECK":
             reason = 252 if self.frame in OUTAGE else 0
             fields = {"who": action["who"], "endpoint": action["endpoint"]}
@@ -229,5 +229,5 @@
 
 
 def make(program):
-    """Plays the site against a simulator."""
+    """Runs the site against a simulator. Returns the script."""
     return Site(program).play()
--- a/tests/faults/operator_test.py
+++ b/tests/faults/operator_test.py
@@ -1,5 +1,5 @@
-"""What operators say at the second address holds, whatever the list, the folder and the
-process do."""
+"""Operators' requests at the operator address stay in force, whatever happens to the
+endpoint list, the state folder and the process."""
 
 import signal
 import socket
@@ -10,7 +10,7 @@
 import rig
 from rig import Endpoint, FaultTable, FaultTest, admin_call, toy_server, wait_for
 
-# An answer is owed within 1 s; a machine that runs other tests beside gets some more.
+# An answer is due within 1 s; the limit allows for other tests on the same machine.
 ANSWER_LIMIT = 5  # s
 
 
@@ -37,7 +37,7 @@
             except OSError:
                 return False
 
-        wait_for("the second address", serves)
+        wait_for("the operator address", serves)
         return forwarder
 
     def assert_excluded(self, name="a", messages=10):
@@ -48,14 +48,15 @@
         self.assertEqual(self.calls_to(name), before)
 
     def assert_a_serves(self):
-        """`a` is cold after its return: the other one is out until it is called."""
+        """Checks that `a` gets calls. It is cold after its return, so `b` is excluded
+        until `a` is called."""
         self.assertEqual(self.enter("b"), 200)
         self.settle("a")
         self.assertEqual(self.exit("b"), 200)
 
 
 class CallTest(OperatorTest):
-    def test_each_path_takes_its_method_alone(self):
+    def test_each_path_accepts_only_its_method(self):
         self.start()
         for method, path, status in (
             ("GET", "/status", 200),
@@ -102,7 +103,7 @@
         self.assertEqual(self.call("GET", "/status"), 200)
         self.assertEqual(self.ping(), "+PONG")
 
-    def test_slow_callers_hold_nobody_up_and_are_ended(self):
+    def test_slow_callers_block_nobody_and_are_disconnected(self):
         self.start()
         slow = [
             socket.create_connection(self.admin.split(":"), timeout=rig.LIMIT)
@@ -150,12 +151,12 @@
 
 
 class StandbyTest(OperatorTest):
-    def test_standby_sends_clients_away_and_active_takes_them_back(self):
+    def test_standby_disconnects_clients_and_active_accepts_them_again(self):
         self.start()
         client = toy_server.Client(self.listen, timeout=rig.LIMIT)
         self.assertEqual(client.call("PING"), "+PONG")
         self.assertEqual(self.call("POST", "/standby"), 200)
-        self.assertEqual(client.read(), "")  # held idle no longer
+        self.assertEqual(client.read(), "")  # the idle connection is closed
         self.assertTrue(self.ping().startswith("-"))
         self.assertEqual(self.call("GET", "/status"), 200)
         self.assertEqual(self.call("POST", "/active"), 200)
@@ -165,16 +166,16 @@
 
 
 class ExclusionTest(OperatorTest):
-    def test_an_endpoint_that_is_out_gets_nothing_new_until_it_is_back(self):
+    def test_an_excluded_endpoint_gets_no_new_messages_until_it_is_back(self):
         self.start()
         self.settle("a")
         self.assertEqual(self.enter(), 200)
         self.assert_excluded()
-        self.assertEqual(self.enter(), 200)  # twice out, one back
+        self.assertEqual(self.enter(), 200)  # entered twice, exited once
         self.assertEqual(self.exit(), 200)
         self.assert_a_serves()
 
-    def test_messages_that_wait_are_not_sent_to_it(self):
+    def test_waiting_messages_are_not_sent_to_an_excluded_endpoint(self):
         self.set_mode(Endpoint.REJECT)
         self.start()
         for _ in range(10):
@@ -185,8 +186,9 @@
         self.assert_all_end()
         self.assertEqual(self.calls_to("a"), before)
 
-    def test_messages_whose_endpoints_are_all_out_end_with_a_notice(self):
-        """Over a restart too, and also where they waited for one of these."""
+    def test_messages_whose_endpoints_are_all_excluded_end_with_a_notice(self):
+        """This also applies after a restart, and to messages that waited for one of the
+        excluded endpoints."""
         self.set_mode(Endpoint.REJECT)
         forwarder = self.start()
         self.put_accepted(left_ms=3000)
@@ -201,12 +203,12 @@
             wait_for("the notice", lambda: self.notices_of(message))
             self.assertEqual(self.calls_of(message), [])
 
-    def test_lists_do_not_bring_it_back(self):
+    def test_lists_do_not_end_an_exclusion(self):
         self.start()
         self.settle("a")
         self.assertEqual(self.enter(), 200)
         for phases in ({}, {"a": "Terminating"}, {}, {"a": "Gone"}, {}):
-            self.tell(**phases)
+            self.announce_members(**phases)
             self.assert_excluded(messages=5)
         self.assertEqual(self.exit(), 200)
         self.assert_a_serves()
@@ -215,14 +217,14 @@
         self.start()
         self.settle("a")
         self.assertEqual(self.enter(), 200)
-        self.tell(a="Terminating")
+        self.announce_members(a="Terminating")
         self.assert_excluded(messages=3)
         self.assertEqual(self.exit(), 200)
-        self.assert_excluded(messages=5)  # by the list's word now
-        self.tell()
+        self.assert_excluded(messages=5)  # because of the list now
+        self.announce_members()
         self.assert_a_serves()
 
-    def test_a_new_discovery_address_does_not_bring_it_back(self):
+    def test_a_new_discovery_address_does_not_end_an_exclusion(self):
         forwarder = self.start()
         self.assertEqual(self.enter(), 200)
         other = self.new_stand_in(rig.Discovery)
@@ -238,7 +240,7 @@
         )
         self.assert_excluded()
 
-    def test_it_outlasts_the_process_however_that_ends(self):
+    def test_an_exclusion_survives_the_process_however_it_ends(self):
         forwarder = self.start()
         self.assertEqual(self.enter(), 200)
         for how in (signal.SIGTERM, signal.SIGKILL, signal.SIGTERM):
@@ -250,7 +252,7 @@
         self.start()
         self.assert_a_serves()
 
-    def test_where_the_folder_fails_it_holds_in_memory_and_is_stored_later(self):
+    def test_an_exclusion_holds_while_the_folder_fails_and_is_stored_later(self):
         for call in ("open", "pwrite", "fsync", "rename"):
             with self.subTest(call):
                 forwarder = self.start()
@@ -270,7 +272,7 @@
                 self.assertEqual(self.exit(), 200)
                 forwarder.end()
 
-    def test_no_call_is_made_while_it_is_not_known_who_is_out(self):
+    def test_no_call_is_made_while_the_exclusions_are_unknown(self):
         forwarder = self.start()
         self.assertEqual(self.enter(), 200)
         forwarder.end()
@@ -285,7 +287,7 @@
         self.faults.end()
         self.assert_excluded(messages=5)
 
-    def test_who_does_not_own_the_folder_leaves_the_file_alone(self):
+    def test_a_process_that_does_not_own_the_folder_does_not_write_the_file(self):
         self.start()
         self.assertEqual(self.enter("a"), 200)
         stored = (self.state / "exclusions").read_bytes()
@@ -299,7 +301,7 @@
 
 
 class KillTest(OperatorTest):
-    """A hundred rounds: SIGKILL at each step of going out and of coming back."""
+    """Sends SIGKILL at each step of entering and exiting maintenance, in 100 rounds."""
 
     ROUNDS = 100
     STEPS = [
@@ -309,32 +311,32 @@
         for skip in (0, 1)
     ] + [("pwrite", rig.KILL_HALFWAY, 0)]
 
-    def attempt(self, ask):
-        """The status; None if the process died before it answered."""
+    def try_call(self, request):
+        """Returns the status, or None if the process died before it answered."""
         try:
-            return ask()
+            return request()
         except OSError:
             return None
 
-    def test_what_was_answered_holds(self):
-        is_out = False
+    def test_an_answered_request_survives_a_kill(self):
+        excluded = False
         forwarder = self.start()
         for number in range(self.ROUNDS):
             call, how, skip = self.STEPS[number // 2 % len(self.STEPS)]
-            goes_out = number % 2 == 0
+            enters = number % 2 == 0
             with self.subTest(number=number, call=call, how=how, skip=skip):
                 self.faults.fail(call, how, skip=skip, bytes_moved=5)
-                status = self.attempt(self.enter if goes_out else self.exit)
+                status = self.try_call(self.enter if enters else self.exit)
                 self.faults.end()
                 if status is not None:
                     self.assertEqual(status, 200)
-                    is_out = goes_out
+                    excluded = enters
                 forwarder.end()
                 forwarder = self.start()
-                if status is None:  # either may hold: say it again
-                    self.assertEqual(self.enter() if goes_out else self.exit(), 200)
-                    is_out = goes_out
-                if is_out:
+                if status is None:  # either state is possible: request it again
+                    self.assertEqual(self.enter() if enters else self.exit(), 200)
+                    excluded = enters
+                if excluded:
                     self.assert_excluded(messages=2)
                 else:
                     self.put_accepted()
@@ -357,7 +359,7 @@
             for _ in range(20):
                 self.assertEqual(self.call("GET", "/status"), 200)
                 self.assertEqual(self.enter(), 200)
-                time.sleep(0.3)  # the grace of what was under way
+                time.sleep(0.3)  # the grace period of calls in flight
                 before = self.calls_to("a")
                 for _ in range(3):
                     self.put()
