--- a/src/cli/forwarder_service.cpp
+++ b/src/cli/forwarder_service.cpp
@@ -93,7 +93,7 @@
 }
 
 void LogSpoolWarning(const std::string& text) {
-  observe::LogSeldom(Concern::kSpool, Level::kWarning, text);
+  observe::LogRateLimited(Concern::kSpool, Level::kWarning, text);
 }
 
 }  // namespace
@@ -136,7 +136,7 @@
 }
 
 MemberList ForwarderService::InitialList() {
-  MemberList list = sources_ ? sources_->Begin(kZoneConfirmationTimeout) : config_.known;
+  MemberList list = sources_ ? sources_->Begin(kZoneConfirmationTimeout) : config_.known_endpoints;
   if (fleet_) fleet_->OnEndpointList(list);
   return exclusions_.Apply(std::move(list));
 }
@@ -228,8 +228,8 @@
     engine_.SetDiscoveryAddress(std::move(config.discovery));
   } catch (const ConfigUnreadable& error) {
     readable = false;
-    observe::LogSeldom(Concern::kService, Level::kError, "configuration not read yet",
-                       {{"error", error.what()}});
+    observe::LogRateLimited(Concern::kService, Level::kError, "configuration not read yet",
+                            {{"error", error.what()}});
   } catch (const ConfigError& error) {
     observe::Log(Concern::kService, Level::kError,
                  "configuration rejected, keeping the previous one", {{"error", error.what()}});
--- a/src/cli/inspect.cpp
+++ b/src/cli/inspect.cpp
@@ -23,7 +23,7 @@
   const Config config = LoadConfig(path);
   for (const std::string& warning : config.warnings) std::cout << path << ": " << warning << "\n";
   std::cout << path << ": good; forwarder " << config.name << " at " << config.listen << ", "
-            << config.known.members.size() << " next hops known\n";
+            << config.known_endpoints.members.size() << " next hops known\n";
   return 0;
 }
 
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -68,7 +68,7 @@
 
 // After a takeover that failed.
 std::string WhyUnavailable(FolderOwner& owner, const std::string& listen, int listen_error) {
-  if (owner.Lock() != FileLock::Outcome::kTaken) {
+  if (owner.Lock() != FileLock::Outcome::kHeldByOther) {
     return "cannot listen on " + listen + ": " + std::strerror(listen_error);
   }
   return "state folder " + owner.folder() + " is owned by process " +
@@ -99,7 +99,7 @@
   over = true;
   kill(getpid(), SIGTERM);  // wakes the signal thread, which takes it
   signal_thread.Join();
-  if (const auto open = service.open_messages()) owner.RecordEnd(*open);
+  if (const auto open = service.open_messages()) owner.RecordGracefulEnd(*open);
   return {"shutdown complete", 0};
 }
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -132,7 +132,7 @@
   policy.cancel_allowed = FlagOr(limits, "may-cancel", false);
   policy.clients_honor_retry_after = FlagOr(limits, "retry-after", false);
   policy.max_retry_after = TimeOr(limits, "max-retry-after", {});
-  config.connection_idle = TimeOr(limits, "conn-idle", kDefaultConnectionIdle);
+  config.connection_idle_timeout = TimeOr(limits, "conn-idle", kDefaultConnectionIdle);
   config.connect_timeout = TimeOr(limits, "connect-timeout", kDefaultConnectTimeout);
 }
 
@@ -220,8 +220,8 @@
     config.admin = TextOr(file, "admin", "");
     config.seed = ParseSeed(file.At("seed").Text());
     config.limits = ReadLimits(file.At("limits"));
-    config.known = ReadMemberList(file.At("known"));
-    config.known.source = ListSource::kConfiguration;
+    config.known_endpoints = ReadMemberList(file.At("known"));
+    config.known_endpoints.source = ListSource::kConfiguration;
     ReadSettings(file.At("settings"), config);
     NoteKeys(file, "", kTopLevelKeys, config);
     NoteKeys(file.At("settings"), "settings.", kSettingsKeys, config);
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -40,7 +40,7 @@
   std::string admin;      // IPv4:PORT, for operators; empty: none
   std::uint64_t seed = 0;
   Limits limits;
-  MemberList known;  // the endpoint list as it was when the file was written
+  MemberList known_endpoints;  // the endpoint list as it was when the file was written
 
   dispatch_policy::Settings policy_settings;
   // The names of what the policy knows by index.
@@ -49,7 +49,8 @@
   std::vector<std::string> kind_names;
   std::vector<std::string> zone_names;
 
-  std::chrono::nanoseconds connection_idle{};  // after which an endpoint closes an idle connection
+  std::chrono::nanoseconds
+      connection_idle_timeout{};               // after which an endpoint closes an idle connection
   std::chrono::nanoseconds connect_timeout{};  // for a connection to an endpoint
   // Settings that are not valid and were replaced by safe defaults, a line for people each.
   std::vector<std::string> warnings;
--- a/src/fleet/known_state.cpp
+++ b/src/fleet/known_state.cpp
@@ -26,7 +26,7 @@
   const maintenance::MaintenanceState before = std::exchange(state_, newer);
   LogChangesSince(before);
   if (!peers::WriteAtomically(path_, state_.Save())) {
-    observe::LogSeldom(Concern::kFleet, Level::kError, "settled state cannot be kept");
+    observe::LogRateLimited(Concern::kFleet, Level::kError, "settled state cannot be kept");
   }
   return true;
 }
--- a/src/fleet/local_identity.cpp
+++ b/src/fleet/local_identity.cpp
@@ -50,9 +50,9 @@
 
 void LocalIdentity::Lock() {
   switch (lock_.TryLock(folder_ + "/lock")) {
-    case FileLock::Outcome::kHeld:
+    case FileLock::Outcome::kAcquired:
       return;
-    case FileLock::Outcome::kTaken:
+    case FileLock::Outcome::kHeldByOther:
       throw std::runtime_error("another process holds " + folder_);
     case FileLock::Outcome::kUnsupported:
     case FileLock::Outcome::kFailed:
--- a/src/fleet/peer_transport.cpp
+++ b/src/fleet/peer_transport.cpp
@@ -84,8 +84,8 @@
   if (to == nullptr) return;
   const std::string bytes = peers::Encode(frame, roster_.fleet, roster_.secret);
   if (bytes.size() > peers::kMostFrame) {
-    observe::LogSeldom(Concern::kFleet, Level::kError, "frame too long",
-                       {{"to", frame.to}, {"bytes", bytes.size()}});
+    observe::LogRateLimited(Concern::kFleet, Level::kError, "frame too long",
+                            {{"to", frame.to}, {"bytes", bytes.size()}});
     return;
   }
   const sockaddr_in address = ParseSocketAddress(to->address);
--- a/src/forwarder/call_dispatcher.cpp
+++ b/src/forwarder/call_dispatcher.cpp
@@ -69,7 +69,7 @@
   return {.threads = MaxCallThreads(config),
           .max_idle_connections = MaxIdleConnections(config),
           .group_size = config.policy_settings.group_size,
-          .connection_idle = config.connection_idle,
+          .connection_idle = config.connection_idle_timeout,
           .connect_timeout = duration_cast<milliseconds>(config.connect_timeout)};
 }
 
@@ -82,7 +82,7 @@
 
 void LogCallCompleted(const PendingCall& call, const EndpointCallResult& result,
                       milliseconds elapsed) {
-  if (!observe::Logs(Concern::kEngine, Level::kDebug)) return;
+  if (!observe::ShouldLog(Concern::kEngine, Level::kDebug)) return;
   observe::Log(Concern::kEngine, Level::kDebug, "call completed",
                {{"call", result.call_id},
                 {"endpoint", call.endpoint},
@@ -95,7 +95,7 @@
 }
 
 void LogCallStarted(CallId id, const PendingCall& call, const Endpoint& endpoint) {
-  if (!observe::Logs(Concern::kEngine, Level::kDebug)) return;
+  if (!observe::ShouldLog(Concern::kEngine, Level::kDebug)) return;
   for (const PendingAttempt& attempt : call.attempts) {
     observe::Log(Concern::kEngine, Level::kDebug, "call started",
                  {{"call", id},
@@ -107,11 +107,11 @@
 
 void LogRetryAfter(const CallTarget& target, milliseconds retry_after) {
   observe::Count("retry_after_total");
-  observe::LogSeldom(Concern::kEngine, Level::kInfo, "endpoint asked to wait",
-                     {{"endpoint", target.endpoint},
-                      {"destination", target.destination},
-                      {"retry_after_ms", retry_after.count()},
-                      {"binds", target.has_own_rate_limit ? "endpoint" : "destination"}});
+  observe::LogRateLimited(Concern::kEngine, Level::kInfo, "endpoint asked to wait",
+                          {{"endpoint", target.endpoint},
+                           {"destination", target.destination},
+                           {"retry_after_ms", retry_after.count()},
+                           {"binds", target.has_own_rate_limit ? "endpoint" : "destination"}});
 }
 
 }  // namespace
--- a/src/forwarder/endpoint_sources.cpp
+++ b/src/forwarder/endpoint_sources.cpp
@@ -113,7 +113,7 @@
     : settings_(std::move(settings)),
       kinds_(config.kind_names),
       zones_(config.zone_names),
-      merged_(settings_.damping, config.known.revision) {
+      merged_(settings_.damping, config.known_endpoints.revision) {
   platform_id_ = merged_.AddSource({"platform", settings_.platform_rank, false, 0});
   for (const auto& listing : settings_.listings) {
     ZoneSource& source = zone_sources_[listing.zone.Key()];
@@ -122,7 +122,7 @@
         merged_.AddSource({listing.zone.ToText(), listing.rank, listing.owns, listing.expiry});
     source.map = std::make_unique<membership::ZoneMap>(listing.defaults);
   }
-  merged_.TakeList(platform_id_, config.known, nameserver::SteadySeconds());
+  merged_.TakeList(platform_id_, config.known_endpoints, nameserver::SteadySeconds());
 }
 
 EndpointSources::~EndpointSources() { Stop(); }
@@ -225,8 +225,8 @@
   for (auto& service : services) {
     RemoveUnknownNames(service);
     for (const std::string& fault : service.faults) {
-      observe::LogSeldom(Concern::kZones, Level::kWarning, "zone record lists nothing",
-                         {{"fault", fault}});
+      observe::LogRateLimited(Concern::kZones, Level::kWarning, "zone record lists nothing",
+                              {{"fault", fault}});
     }
     merged_.Take(source.id, service.name, service.members, nameserver::SteadySeconds());
   }
@@ -248,7 +248,7 @@
   if (!on_list_) return;
   if (auto list = merged_.Changes(nameserver::SteadySeconds())) {
     // Counting suppressed endpoints looks at all of them, so only where the line is written.
-    if (observe::Logs(Concern::kZones, Level::kDebug)) {
+    if (observe::ShouldLog(Concern::kZones, Level::kDebug)) {
       observe::Log(Concern::kZones, Level::kDebug, "list merged",
                    {{"revision", list->revision},
                     {"changes", list->members.size()},
--- a/src/forwarder/engine.cpp
+++ b/src/forwarder/engine.cpp
@@ -400,7 +400,7 @@
 
 // At debug level: what became of a message, by its client's id.
 void Engine::LogMessageStep(const char* event, MessageId message, std::string_view reason) const {
-  if (!observe::Logs(Concern::kEngine, Level::kDebug)) return;
+  if (!observe::ShouldLog(Concern::kEngine, Level::kDebug)) return;
   const InFlightMessage* found = messages_.Find(message);
   if (found == nullptr) return;
   observe::Log(Concern::kEngine, Level::kDebug, event,
@@ -448,10 +448,10 @@
   // Discovery has answered, if only with what was known.
   if (list.source == ListSource::kDiscovery) known_list_hold_.End();
   if (endpoints_.IsStale(list)) {
-    observe::LogSeldom(Concern::kEngine, Level::kWarning, "endpoint list refused",
-                       {{"reason", "older than the one in use"},
-                        {"revision", list.revision},
-                        {"source", ToString(list.source)}});
+    observe::LogRateLimited(Concern::kEngine, Level::kWarning, "endpoint list refused",
+                            {{"reason", "older than the one in use"},
+                             {"revision", list.revision},
+                             {"source", ToString(list.source)}});
     observe::Count("endpoint_lists_refused_total", {"reason", "stale"});
     return;
   }
--- a/src/forwarder/engine.hpp
+++ b/src/forwarder/engine.hpp
@@ -66,7 +66,7 @@
   // Takes over the messages that an earlier process had accepted, with the endpoints that are known
   // now. Clients may connect once it has returned.
   void Restore(const MemberList& known);
-  void Restore() { Restore(config_.known); }
+  void Restore() { Restore(config_.known_endpoints); }
   // Works until a shutdown is over. Calls `on_drain` when one begins.
   void Run(std::function<void()> on_drain);
   // To be called after Run: clients that wait in Submit are rejected, and nothing more is accepted.
--- a/src/forwarder/message_table.cpp
+++ b/src/forwarder/message_table.cpp
@@ -199,7 +199,7 @@
   spool_.Finish(message);
   totals_.CountEnd(final_step);
   observe::Count("messages_ended_total", {"reason", ToString(final_step)});
-  if (observe::Logs(Concern::kEngine, Level::kDebug)) {
+  if (observe::ShouldLog(Concern::kEngine, Level::kDebug)) {
     observe::Log(Concern::kEngine, Level::kDebug, "message ended",
                  {{"id", messages_.at(message).client_id},
                   {"reason", ToString(final_step)},
--- a/src/forwarder/message_totals.cpp
+++ b/src/forwarder/message_totals.cpp
@@ -22,7 +22,7 @@
 }
 
 void LogFinalTotals(const MessageTotals& totals, const Spool& spool) {
-  const auto open = spool.CountStoredOpen();
+  const auto open = spool.CountStoredOpenMessages();
   observe::Log(Concern::kEngine, Level::kInfo, "message totals",
                {{"accepted", totals.accepted},
                 {"restored", totals.restored},
--- a/src/forwarder/notification_poster.cpp
+++ b/src/forwarder/notification_poster.cpp
@@ -44,8 +44,8 @@
                 {"oldest_ms", InMilliseconds(end.oldest_wait)}});
   observe::Count("notification_posts_total", {"outcome", ToString(ToPostOutcome(result.status))});
   if (!end.rejected) return;
-  observe::LogSeldom(Concern::kPlatform, Level::kError, "notification rejected",
-                     {{"id", *end.rejected}, {"status", result.status}});
+  observe::LogRateLimited(Concern::kPlatform, Level::kError, "notification rejected",
+                          {{"id", *end.rejected}, {"status", result.status}});
 }
 
 }  // namespace
--- a/src/forwarder/stage_latencies.cpp
+++ b/src/forwarder/stage_latencies.cpp
@@ -25,7 +25,7 @@
 
 void StageLatencies::LogAndReset(observe::Level level, std::size_t messages_in_flight,
                                  std::size_t calls) {
-  if (!observe::Logs(Concern::kEngine, level)) return;
+  if (!observe::ShouldLog(Concern::kEngine, level)) return;
   observe::Log(Concern::kEngine, level, "load",
                {{"in_flight", messages_in_flight},
                 {"calls", calls},
--- a/src/forwarder/submission_queue.cpp
+++ b/src/forwarder/submission_queue.cpp
@@ -38,8 +38,8 @@
       submission.reply.set_value(std::move(accepted));
       continue;
     }
-    observe::LogSeldom(observe::Concern::kSpool, observe::Level::kWarning,
-                       "spool full: message rejected");
+    observe::LogRateLimited(observe::Concern::kSpool, observe::Level::kWarning,
+                            "spool full: message rejected");
     rejected.push_back(message);
     submission.reply.set_value(SubmitResult::Rejected(dispatch_policy::kRetryAfterWhenFull));
   }
--- a/src/nameserver/host.cpp
+++ b/src/nameserver/host.cpp
@@ -175,8 +175,9 @@
                  {{"file", file}, {"serial", held.serial()}, {"records", held.records()}});
     return;
   }
-  observe::LogSeldom(Concern::kZones, Level::kError, "zone file not taken up, the old zone holds",
-                     {{"file", file}, {"fault", why}});
+  observe::LogRateLimited(Concern::kZones, Level::kError,
+                          "zone file not taken up, the old zone holds",
+                          {{"file", file}, {"fault", why}});
   if (watcher_.failed) watcher_.failed(held, why);
 }
 
--- a/src/nameserver/secondary_zone.cpp
+++ b/src/nameserver/secondary_zone.cpp
@@ -77,7 +77,7 @@
 }
 
 void SecondaryZone::TellFailed(const std::string& why) {
-  observe::LogSeldom(
+  observe::LogRateLimited(
       Concern::kZones, Level::kWarning, "zone not renewed",
       {{"zone", zone_.zone().origin().ToText()}, {"primary", how_.server}, {"why", why}});
   if (watcher_.failed) watcher_.failed(zone_.zone(), why);
--- a/src/nameserver/server.cpp
+++ b/src/nameserver/server.cpp
@@ -135,7 +135,7 @@
     }
   }
   ++answered_;
-  observe::LogSeldom(Concern::kZones, Level::kDebug, "dns", {{"did", reply.event}});
+  observe::LogRateLimited(Concern::kZones, Level::kDebug, "dns", {{"did", reply.event}});
   for (std::string& message : reply.messages) {
     if (faults.garbage) message = std::string(message.size(), '\x5a');
     if (message.size() < 12) continue;
--- a/src/net/discovery_watcher.cpp
+++ b/src/net/discovery_watcher.cpp
@@ -78,11 +78,12 @@
 }
 
 void DiscoveryWatcher::LogRefused(const std::string& text, std::string_view reason) const {
-  observe::LogSeldom(observe::Concern::kPlatform, observe::Level::kWarning, "endpoint list refused",
-                     {{"reason", reason},
-                      {"revision_in_use", revision_},
-                      {"bytes", text.size()},
-                      {"begins", std::string_view(text).substr(0, kLoggedListBytes)}});
+  observe::LogRateLimited(observe::Concern::kPlatform, observe::Level::kWarning,
+                          "endpoint list refused",
+                          {{"reason", reason},
+                           {"revision_in_use", revision_},
+                           {"bytes", text.size()},
+                           {"begins", std::string_view(text).substr(0, kLoggedListBytes)}});
   observe::Count("endpoint_lists_refused_total", {"reason", "invalid"});
 }
 
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -117,7 +117,7 @@
   const Format format;
   std::array<std::unique_ptr<spdlog::logger>, kConcerns> by_concern;
   std::mutex mutex;  // guards the repeats
-  Repeats repeats;
+  RepeatLimiter repeats;
 };
 
 // Kept to the end of the process: threads may log while it exits.
@@ -215,19 +215,19 @@
   delete std::exchange(Current(), new Loggers(options));
 }
 
-bool Logs(Concern concern, Level level) { return Of(concern).should_log(SpdlogLevel(level)); }
+bool ShouldLog(Concern concern, Level level) { return Of(concern).should_log(SpdlogLevel(level)); }
 
 void Log(Concern concern, Level level, std::string_view event, Fields fields) {
-  if (Logs(concern, level)) Write(concern, level, event, fields, 0);
+  if (ShouldLog(concern, level)) Write(concern, level, event, fields, 0);
 }
 
-void LogSeldom(Concern concern, Level level, std::string_view event, Fields fields) {
-  if (!Logs(concern, level)) return;
+void LogRateLimited(Concern concern, Level level, std::string_view event, Fields fields) {
+  if (!ShouldLog(concern, level)) return;
   std::optional<std::uint64_t> left_out;
   {
     Loggers& loggers = *Current();
     const std::lock_guard lock(loggers.mutex);
-    left_out = loggers.repeats.Take(event, std::chrono::steady_clock::now().time_since_epoch());
+    left_out = loggers.repeats.Admit(event, std::chrono::steady_clock::now().time_since_epoch());
   }
   if (left_out) Write(concern, level, event, fields, *left_out);
 }
--- a/src/observe/log.hpp
+++ b/src/observe/log.hpp
@@ -68,11 +68,11 @@
 void SetUpLog(const LogOptions& options);
 
 // Whether a line would be written: for fields that cost something to make.
-bool Logs(Concern concern, Level level);
+bool ShouldLog(Concern concern, Level level);
 
 void Log(Concern concern, Level level, std::string_view event, Fields fields = {});
 // The same, and left out where the event repeats too often.
-void LogSeldom(Concern concern, Level level, std::string_view event, Fields fields = {});
+void LogRateLimited(Concern concern, Level level, std::string_view event, Fields fields = {});
 
 // For the command line; false if the name is none of them.
 bool ParseFormat(std::string_view name, Format& format);
--- a/src/observe/repeats.hpp
+++ b/src/observe/repeats.hpp
@@ -13,14 +13,14 @@
 
 namespace brassfront::observe {
 
-class Repeats {
+class RepeatLimiter {
  public:
   using Time = std::chrono::nanoseconds;
 
-  explicit Repeats(std::size_t most) : most_(most) {}
+  explicit RepeatLimiter(std::size_t most) : most_(most) {}
 
   // Nothing if the event is to be left out; else how many were left out since the last one told.
-  std::optional<std::uint64_t> Take(std::string_view name, Time now) {
+  std::optional<std::uint64_t> Admit(std::string_view name, Time now) {
     auto it = seen_.find(name);
     if (it == seen_.end()) {
       // Names are literals in the code; guards against one that is made up at run time.
--- a/src/operators/operator_commands.cpp
+++ b/src/operators/operator_commands.cpp
@@ -39,8 +39,8 @@
   if (stored) {
     excluded_.insert(stored->begin(), stored->end());
   } else {
-    observe::LogSeldom(Concern::kService, Level::kError, "exclusions cannot be read",
-                       {{"error", std::strerror(errno)}});
+    observe::LogRateLimited(Concern::kService, Level::kError, "exclusions cannot be read",
+                            {{"error", std::strerror(errno)}});
   }
   loaded_ = stored.has_value();
   Apply();
@@ -122,8 +122,8 @@
   write_is_due_ = !file_.Write(excluded_);
   if (!write_is_due_) return;
   observe::Count("storage_errors_total", {"file", "exclusions"});
-  observe::LogSeldom(Concern::kService, Level::kError, "exclusions not stored",
-                     {{"error", std::strerror(errno)}});
+  observe::LogRateLimited(Concern::kService, Level::kError, "exclusions not stored",
+                          {{"error", std::strerror(errno)}});
 }
 
 }  // namespace brassfront
--- a/src/operators/operator_server.cpp
+++ b/src/operators/operator_server.cpp
@@ -55,9 +55,9 @@
                  {{"listen", LocalAddress(listener_)}});
     return;
   }
-  observe::LogSeldom(observe::Concern::kService, observe::Level::kWarning,
-                     "operators' address not available",
-                     {{"listen", address_}, {"error", std::strerror(errno)}});
+  observe::LogRateLimited(observe::Concern::kService, observe::Level::kWarning,
+                          "operators' address not available",
+                          {{"listen", address_}, {"error", std::strerror(errno)}});
 }
 
 // Waits for one tick at most, and serves what has come.
--- a/src/snapshot/condition_store.cpp
+++ b/src/snapshot/condition_store.cpp
@@ -120,8 +120,9 @@
   MappedFile file =
       MappedFile::Open(owner_.folder() + kFileName, std::min(FileBytes(kInitialSlots), max_bytes_));
   if (!file.is_open()) {
-    observe::LogSeldom(Concern::kSpool, Level::kWarning, "conditions not stored",
-                       {{"file", owner_.folder() + kFileName}, {"error", std::strerror(errno)}});
+    observe::LogRateLimited(
+        Concern::kSpool, Level::kWarning, "conditions not stored",
+        {{"file", owner_.folder() + kFileName}, {"error", std::strerror(errno)}});
     return;
   }
   file_ = std::move(file);
--- a/src/spool/folder_owner.cpp
+++ b/src/spool/folder_owner.cpp
@@ -73,7 +73,7 @@
 
 OwnerNote FolderOwner::ReadHolder() const { return ReadNote(path()); }
 
-void FolderOwner::RecordEnd(std::size_t open_messages) {
+void FolderOwner::RecordGracefulEnd(std::size_t open_messages) {
   const std::lock_guard lock(mutex_);
   if (has_note_) Write({.process_id = getpid(), .open_messages = open_messages});
 }
--- a/src/spool/folder_owner.hpp
+++ b/src/spool/folder_owner.hpp
@@ -47,7 +47,7 @@
   // The same, for those who ask nothing else.
   [[nodiscard]] bool Owns() { return IsOwned(Acquire()); }
   [[nodiscard]] static bool IsOwned(FileLock::Outcome outcome) {
-    return outcome == FileLock::Outcome::kHeld || outcome == FileLock::Outcome::kUnsupported;
+    return outcome == FileLock::Outcome::kAcquired || outcome == FileLock::Outcome::kUnsupported;
   }
 
   // The previous owner as it left the folder; known after Acquire.
@@ -56,7 +56,7 @@
   // address, this is still the owner before.
   [[nodiscard]] OwnerNote ReadHolder() const;
   // To be called by the owner at its graceful end.
-  void RecordEnd(std::size_t open_messages);
+  void RecordGracefulEnd(std::size_t open_messages);
 
  private:
   FileLock::Outcome LockOnce();
--- a/src/spool/spool.cpp
+++ b/src/spool/spool.cpp
@@ -80,7 +80,7 @@
   const FileLock::Outcome outcome = owner_->Acquire();
   if (FolderOwner::IsOwned(outcome)) return true;
   const std::string why =
-      outcome == FileLock::Outcome::kTaken
+      outcome == FileLock::Outcome::kHeldByOther
           ? " is owned by process " + std::to_string(owner_->ReadHolder().process_id)
           : std::string(" cannot be locked: ") + std::strerror(errno);
   ReportOnce("spool unusable: " + folder_ + why);
@@ -121,7 +121,7 @@
   return clock_.TimeAt(std::chrono::duration_cast<std::chrono::milliseconds>(monotonic));
 }
 
-std::optional<std::size_t> Spool::CountStoredOpen() const {
+std::optional<std::size_t> Spool::CountStoredOpenMessages() const {
   if (!is_available()) return std::nullopt;
   bool readable = true;
   const Spool stored = OpenToRead(folder_, [&](const std::string&) { readable = false; });
--- a/src/spool/spool.hpp
+++ b/src/spool/spool.hpp
@@ -94,7 +94,7 @@
   [[nodiscard]] std::size_t file_bytes() const { return file_bytes_; }
   // Reads the folder's file anew and counts the open messages in it, but for those whose end is
   // still to be recorded and those that Recover has not returned. None if it can't be read now.
-  [[nodiscard]] std::optional<std::size_t> CountStoredOpen() const;
+  [[nodiscard]] std::optional<std::size_t> CountStoredOpenMessages() const;
 
  private:
   struct OpenMessage {
--- a/src/system/file_lock.cpp
+++ b/src/system/file_lock.cpp
@@ -14,7 +14,7 @@
 constexpr int kMaxInterruptions = 100;
 
 FileLock::Outcome OutcomeOf(int error) {
-  if (error == EWOULDBLOCK) return FileLock::Outcome::kTaken;
+  if (error == EWOULDBLOCK) return FileLock::Outcome::kHeldByOther;
   const bool unsupported = error == EOPNOTSUPP || error == ENOSYS;
   return unsupported ? FileLock::Outcome::kUnsupported : FileLock::Outcome::kFailed;
 }
@@ -34,12 +34,12 @@
 }
 
 FileLock::Outcome FileLock::TryLock(const std::string& path) {
-  if (is_held()) return Outcome::kHeld;
+  if (is_held()) return Outcome::kAcquired;
   const int fd = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kOwnerOnly);
   if (fd < 0) return Outcome::kFailed;
   if (LockWithoutWaiting(fd)) {
     fd_ = fd;
-    return Outcome::kHeld;
+    return Outcome::kAcquired;
   }
   const int error = errno;
   close(fd);
--- a/src/system/file_lock.hpp
+++ b/src/system/file_lock.hpp
@@ -12,8 +12,8 @@
 class FileLock {
  public:
   enum class Outcome {
-    kHeld,
-    kTaken,        // by another process, or another object of this one
+    kAcquired,
+    kHeldByOther,  // by another process, or another object of this one
     kUnsupported,  // there are no locks on this file system
     kFailed        // errno tells why
   };
--- a/src/zones/store.cpp
+++ b/src/zones/store.cpp
@@ -176,9 +176,9 @@
   std::error_code error;
   fs::create_directories(folder_, error);
   switch (lock_.TryLock(folder_ + "/lock")) {
-    case FileLock::Outcome::kHeld:
+    case FileLock::Outcome::kAcquired:
       break;
-    case FileLock::Outcome::kTaken:
+    case FileLock::Outcome::kHeldByOther:
       throw StoreError(folder_ + " is held by another process");
     case FileLock::Outcome::kUnsupported:
     case FileLock::Outcome::kFailed:
--- a/tests/forwarder/order_player.hpp
+++ b/tests/forwarder/order_player.hpp
@@ -98,10 +98,10 @@
     config.tenant_names = {"t"};
     config.kind_names = {"k"};
     config.zone_names = {"a"};
-    config.known = {.revision = 1,
-                    .complete = true,
-                    .members = order.endpoints,
-                    .source = ListSource::kConfiguration};
+    config.known_endpoints = {.revision = 1,
+                              .complete = true,
+                              .members = order.endpoints,
+                              .source = ListSource::kConfiguration};
     config.connect_timeout = Millis(1000);
     return config;
   }
--- a/tests/forwarder/virtual_forwarder.hpp
+++ b/tests/forwarder/virtual_forwarder.hpp
@@ -118,7 +118,7 @@
   // Takes over what the spool owes, and begins.
   void Restore() {
     const Time now = Now();
-    held_events_.emplace_back(endpoints_.Apply(config_.known, now));
+    held_events_.emplace_back(endpoints_.Apply(config_.known_endpoints, now));
     for (RecoveredMessage& recovered : spool_.Recover()) RestoreMessage(std::move(recovered), now);
     Decide(now);
     calls_.StartReadyCalls(Now(), *this);
--- a/tests/network/folder_owner_test.cpp
+++ b/tests/network/folder_owner_test.cpp
@@ -31,26 +31,26 @@
   const StateFolder folder;
   std::optional<FolderOwner> first(folder.path);
   FolderOwner second(folder.path);
-  CHECK(first->Acquire() == Outcome::kHeld);
-  CHECK(first->Acquire() == Outcome::kHeld);
-  CHECK(second.Acquire() == Outcome::kTaken);
+  CHECK(first->Acquire() == Outcome::kAcquired);
+  CHECK(first->Acquire() == Outcome::kAcquired);
+  CHECK(second.Acquire() == Outcome::kHeldByOther);
   CHECK(second.ReadHolder().process_id == getpid());
   first.reset();
-  CHECK(second.Acquire() == Outcome::kHeld);
+  CHECK(second.Acquire() == Outcome::kAcquired);
 }
 
 TEST_CASE("an owner reads what the one before has left") {
   const StateFolder folder;
-  CHECK(FolderOwner(folder.path).Acquire() == Outcome::kHeld);
+  CHECK(FolderOwner(folder.path).Acquire() == Outcome::kAcquired);
   {
     FolderOwner owner(folder.path);
-    REQUIRE(owner.Acquire() == Outcome::kHeld);
+    REQUIRE(owner.Acquire() == Outcome::kAcquired);
     CHECK(owner.predecessor().process_id == getpid());
     CHECK_FALSE(owner.predecessor().open_messages);  // it did not end gracefully
-    owner.RecordEnd(7);
+    owner.RecordGracefulEnd(7);
   }
   FolderOwner owner(folder.path);
-  REQUIRE(owner.Acquire() == Outcome::kHeld);
+  REQUIRE(owner.Acquire() == Outcome::kAcquired);
   CHECK(owner.predecessor().open_messages == 7);
   CHECK_FALSE(owner.ReadHolder().open_messages);
   CHECK(fs::file_size(folder.path + "/owner") <= FolderOwner::kMaxBytesOnDisk);
@@ -62,27 +62,27 @@
   const StateFolder folder;
   {
     FolderOwner owner(folder.path);
-    REQUIRE(owner.Acquire() == Outcome::kHeld);
-    owner.RecordEnd(7);
+    REQUIRE(owner.Acquire() == Outcome::kAcquired);
+    owner.RecordGracefulEnd(7);
   }
   {
     FolderOwner waits_in_vain(folder.path);
-    REQUIRE(waits_in_vain.Lock() == Outcome::kHeld);
-    waits_in_vain.RecordEnd(0);  // it has nothing to say
+    REQUIRE(waits_in_vain.Lock() == Outcome::kAcquired);
+    waits_in_vain.RecordGracefulEnd(0);  // it has nothing to say
   }
   FolderOwner owner(folder.path);
-  REQUIRE(owner.Lock() == Outcome::kHeld);
+  REQUIRE(owner.Lock() == Outcome::kAcquired);
   CHECK(owner.ReadHolder().open_messages == 7);
-  REQUIRE(owner.Acquire() == Outcome::kHeld);
+  REQUIRE(owner.Acquire() == Outcome::kAcquired);
   CHECK(owner.predecessor().open_messages == 7);
 }
 
 TEST_CASE("a predecessor's note is read behind its end, not when the folder was locked") {
   const StateFolder folder;
   FolderOwner owner(folder.path);
-  REQUIRE(owner.Lock() == Outcome::kHeld);
+  REQUIRE(owner.Lock() == Outcome::kAcquired);
   std::ofstream(folder.path + "/owner") << "pid 12\nopen 3\n";  // of one without a lock
-  REQUIRE(owner.Acquire() == Outcome::kHeld);
+  REQUIRE(owner.Acquire() == Outcome::kAcquired);
   CHECK(owner.predecessor().process_id == 12);
   CHECK(owner.predecessor().open_messages == 3);
 }
@@ -92,7 +92,7 @@
     const StateFolder folder;
     std::ofstream(folder.path + "/owner") << text;
     FolderOwner owner(folder.path);
-    REQUIRE(owner.Acquire() == Outcome::kHeld);
+    REQUIRE(owner.Acquire() == Outcome::kAcquired);
     CHECK(owner.predecessor().process_id == 0);
   }
 }
@@ -100,7 +100,7 @@
 TEST_CASE("a folder that can't be locked has no owner") {
   FolderOwner owner("/nonexistent/folder");
   CHECK(owner.Acquire() == Outcome::kFailed);
-  owner.RecordEnd(1);
+  owner.RecordGracefulEnd(1);
   CHECK(owner.ReadHolder().process_id == 0);
 }
 
@@ -109,7 +109,7 @@
   std::ofstream(folder.path + "/spool") << "BRSPOOL1torn";
   std::ofstream(folder.path + "/spool.new") << "being written";
   std::optional<FolderOwner> other(folder.path);
-  REQUIRE(other->Acquire() == Outcome::kHeld);
+  REQUIRE(other->Acquire() == Outcome::kAcquired);
   int reports = 0;
   FolderOwner owner(folder.path);
   Spool spool(owner, 1'000'000, [&](const std::string&) { ++reports; });
--- a/tests/network/log_test.cpp
+++ b/tests/network/log_test.cpp
@@ -75,7 +75,7 @@
 TEST_CASE("a line below the level is not written, and an empty log writes nothing") {
   PipedLog log({.level = Level::kWarning});
   Log(Concern::kEngine, Level::kInfo, "unseen");
-  CHECK_FALSE(Logs(Concern::kEngine, Level::kInfo));
+  CHECK_FALSE(ShouldLog(Concern::kEngine, Level::kInfo));
   Log(Concern::kEngine, Level::kError, "seen", {{"n", 1U}});
   CHECK(log.ReadWithoutTimes() == "seen n=1\n");
 }
@@ -95,21 +95,21 @@
 }
 
 TEST_CASE("repeats are left out and counted; other names are not touched by them") {
-  Repeats repeats(2);
+  RepeatLimiter repeats(2);
   const auto second = std::chrono::seconds(1);
-  CHECK(repeats.Take("a", {}) == 0);
-  CHECK(repeats.Take("a", {}) == 0);
-  CHECK(repeats.Take("a", {}) == std::nullopt);
-  CHECK(repeats.Take("a", second / 2) == std::nullopt);
-  CHECK(repeats.Take("b", {}) == 0);
-  CHECK(repeats.Take("a", second) == 2);
-  CHECK(repeats.Take("a", second) == 0);
+  CHECK(repeats.Admit("a", {}) == 0);
+  CHECK(repeats.Admit("a", {}) == 0);
+  CHECK(repeats.Admit("a", {}) == std::nullopt);
+  CHECK(repeats.Admit("a", second / 2) == std::nullopt);
+  CHECK(repeats.Admit("b", {}) == 0);
+  CHECK(repeats.Admit("a", second) == 2);
+  CHECK(repeats.Admit("a", second) == 0);
 }
 
 TEST_CASE("a repeated event says how many were left out") {
   PipedLog log({.max_repeats = 1});
-  LogSeldom(Concern::kSpool, Level::kWarning, "spool full");
-  LogSeldom(Concern::kSpool, Level::kWarning, "spool full");
+  LogRateLimited(Concern::kSpool, Level::kWarning, "spool full");
+  LogRateLimited(Concern::kSpool, Level::kWarning, "spool full");
   Log(Concern::kSpool, Level::kWarning, "spool full");
   CHECK(log.ReadWithoutTimes() == "spool full\nspool full\n");
 }
--- a/tests/network/spool_test.cpp
+++ b/tests/network/spool_test.cpp
@@ -282,10 +282,10 @@
     folder.Write(changed);
     CheckSecondIsGivenUp(spool, spool.Recover());
     CHECK(reports == 1);
-    CHECK(spool.CountStoredOpen() == 3);
+    CHECK(spool.CountStoredOpenMessages() == 3);
     CHECK(ReadKept(folder) == changed.substr(stored.begin, stored.end - stored.begin));
     spool.Finish(2);
-    CHECK(spool.CountStoredOpen() == 2);
+    CHECK(spool.CountStoredOpenMessages() == 2);
   }
 }
 
@@ -315,7 +315,7 @@
   CHECK(recovered[1].message.class_name.empty());
   CHECK(recovered[2].message.class_name.empty());
   CHECK(recovered[2].message.id == "third");
-  CHECK(spool.CountStoredOpen() == 3);
+  CHECK(spool.CountStoredOpenMessages() == 3);
 }
 
 TEST_CASE("a message to be given up ends though the file can't be compacted") {
