--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -26,8 +26,8 @@
 
 // ======== classes, tenants, kinds, zones ========
 
-// An effect that is missing or unknown counts as not idempotent, which never runs a message twice;
-// a warning tells of it.
+// A missing or unknown effect counts as not idempotent, so that no message runs twice, and adds a
+// warning.
 dispatch_policy::Effect ReadEffect(const Value& message_class, std::vector<std::string>& warnings) {
   const std::string effect = TextOr(message_class, "effect", "");
   if (effect == "pure") return dispatch_policy::Effect::kIdempotent;
@@ -76,7 +76,7 @@
   return names;
 }
 
-// As many kinds as the longest of the lists tells of.
+// Returns as many kinds as the longest of the three lists has.
 std::vector<dispatch_policy::KindSettings> ReadKinds(const Value& family, std::size_t named_kinds) {
   const Value::Array& max_batches = ItemsOrNone(family, "bundle-max");
   const Value::Array& own_limits = ItemsOrNone(family, "own-limits");
@@ -89,8 +89,8 @@
   return kinds;
 }
 
-// One penalty for each zone, or one for all; one that is not from 0 to 1 counts as 0, and a warning
-// tells of it.
+// Reads a penalty per zone, or one penalty for all zones. A value that is not from 0 to 1 is
+// replaced with 0 and adds a warning.
 std::vector<double> ReadZonePenalties(const Value& family, std::size_t zones,
                                       std::vector<std::string>& warnings) {
   const Value* given = family.Find("toll");
@@ -145,7 +145,7 @@
   policy.ordering_cooldown = TimeOr(rules, "settle-after-doubt", {});
 }
 
-// Those that stand in no group.
+// Reads the settings that are in no group.
 void ReadGeneral(const Value& settings, dispatch_policy::Settings& policy) {
   const std::string weights = TextOr(settings, "weight-source", "none");
   if (weights == "nominal") policy.weights = dispatch_policy::WeightMeaning::kRate;
@@ -178,7 +178,7 @@
     {"classes", "realms", "shapes", "zones", "family-info", "limits", "rules", "weight-source",
      "over-share-worth", "discovery", "tick", "group-size"});
 
-// Notes the value of each key of the object, and which keys are not among the known ones.
+// Records the hash of the value of each key of the object, and the keys that are unknown.
 void NoteKeys(const Value& object, const std::string& prefix, KeyNames known, Config& config) {
   const auto* const members = std::get_if<Value::Object>(&object.data());
   if (members == nullptr) return;
@@ -225,7 +225,7 @@
     ReadSettings(file.At("settings"), config);
     NoteKeys(file, "", kTopLevelKeys, config);
     NoteKeys(file.At("settings"), "settings.", kSettingsKeys, config);
-    config.value_hashes.erase("settings");  // its keys are told one by one
+    config.value_hashes.erase("settings");  // the hashes of its keys are recorded individually
     return config;
   } catch (const json::Error& error) {
     throw ConfigError(error.what());
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,4 +1,4 @@
-// What a forwarder is told at its start and on a reload: its configuration file, which is JSON.
+// The forwarder's configuration file, a JSON file that is read at the start and on a reload.
 #ifndef BRASSFRONT_CONFIG_CONFIG_HPP_
 #define BRASSFRONT_CONFIG_CONFIG_HPP_
 
@@ -16,17 +16,17 @@
 
 namespace brassfront {
 
-// The configuration can't be used; its text is one line for people that names the fault.
+// The configuration can't be used. The text is one human-readable line that names the error.
 class ConfigError : public std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// The file can't be read now, which says nothing about what it holds.
+// The file can't be read now; its content may be valid.
 class ConfigUnreadable : public ConfigError {
   using ConfigError::ConfigError;
 };
 
-// What the platform lets the forwarder use.
+// The resources that the platform allows the forwarder to use.
 struct Limits {
   std::size_t memory_bytes = 0;
   std::size_t sockets = 0;
@@ -43,27 +43,28 @@
   MemberList known_endpoints;  // the endpoint list as it was when the file was written
 
   dispatch_policy::Settings policy_settings;
-  // The names of what the policy knows by index.
+  // The names of the classes, tenants, kinds and zones that the policy identifies by index.
   std::vector<std::string> class_names;
   std::vector<std::string> tenant_names;
   std::vector<std::string> kind_names;
   std::vector<std::string> zone_names;
 
-  std::chrono::nanoseconds
-      connection_idle_timeout{};               // after which an endpoint closes an idle connection
+  // The time after which an endpoint closes an idle connection.
+  std::chrono::nanoseconds connection_idle_timeout{};
   std::chrono::nanoseconds connect_timeout{};  // for a connection to an endpoint
-  // Settings that are not valid and were replaced by safe defaults, a line for people each.
+  // One human-readable line for each invalid setting that was replaced by a safe default.
   std::vector<std::string> warnings;
-  // Keys of the file that the program does not know, as a path such as `settings.tick`.
+  // Keys of the file that the program does not know, as paths such as `settings.tick`.
   std::vector<std::string> unknown_keys;
-  // Of each key of the file, with its value's hash: to tell what a reload would change.
+  // The hash of each key's value, used to determine what a reload changes.
   std::map<std::string, std::size_t> value_hashes;
 };
 
-// The keys whose values differ, or that one of the two alone has.
+// Returns the keys whose values differ, or that only one of the two has.
 [[nodiscard]] std::vector<std::string> ChangedKeys(const Config& before, const Config& after);
 
-// Both throw ConfigError; LoadConfig throws ConfigUnreadable if the file can't be read now.
+// Both functions throw ConfigError. LoadConfig throws ConfigUnreadable if the file can't be read
+// now.
 [[nodiscard]] Config ParseConfig(std::string_view text);
 [[nodiscard]] Config LoadConfig(const std::string& path);
 
--- a/src/config/json_fields.hpp
+++ b/src/config/json_fields.hpp
@@ -1,5 +1,5 @@
-// Fields of a JSON object that may be absent. Each function throws json::Error if the field is
-// there and has another type.
+// Reads optional fields of a JSON object. Each function throws json::Error if the field is present
+// but has another type.
 #ifndef BRASSFRONT_CONFIG_JSON_FIELDS_HPP_
 #define BRASSFRONT_CONFIG_JSON_FIELDS_HPP_
 
@@ -13,19 +13,20 @@
 namespace brassfront {
 
 double NumberOr(const json::Value& object, std::string_view name, double absent);
-// Of 0 or more.
+// Reads an integer of 0 or more.
 std::size_t WholeOr(const json::Value& object, std::string_view name, std::size_t absent);
-// In the file, times are whole nanoseconds.
+// Reads a time in integer nanoseconds.
 std::chrono::nanoseconds TimeOr(const json::Value& object, std::string_view name,
                                 std::chrono::nanoseconds absent);
 bool FlagOr(const json::Value& object, std::string_view name, bool absent);
 std::string TextOr(const json::Value& object, std::string_view name, std::string_view absent);
-// An empty list if absent. Valid as long as the object.
+// Returns an empty list if the field is absent. The reference is valid as long as `object`.
 const json::Value::Array& ItemsOrNone(const json::Value& object, std::string_view name);
-// An empty value, in which each field is absent, if absent. Valid as long as the object.
+// Returns an empty value, which has no fields, if the field is absent. The reference is valid as
+// long as `object`.
 const json::Value& GroupOrNone(const json::Value& object, std::string_view name);
 
-// The same for equal values, whatever their layout in the text.
+// Equal values have equal hashes, regardless of their formatting in the JSON text.
 [[nodiscard]] std::size_t HashValue(const json::Value& value);
 
 }  // namespace brassfront
--- a/src/observe/histogram.hpp
+++ b/src/observe/histogram.hpp
@@ -1,5 +1,5 @@
-// Counts of durations in buckets that grow with the value: within 9 % of it, from 1 us to 17 min.
-// One fixed block of memory; no locks; one owner.
+// A histogram of durations from 1 us to 17 min, with buckets whose width grows with the value and
+// is about 9 % of it. Has a fixed size in memory, uses no locks and is not thread-safe.
 #ifndef BRASSFRONT_OBSERVE_HISTOGRAM_HPP_
 #define BRASSFRONT_OBSERVE_HISTOGRAM_HPP_
 
@@ -15,7 +15,7 @@
  public:
   using Duration = std::chrono::microseconds;
 
-  // What is below 0 counts as 0, and what is too long as the longest.
+  // Counts a negative value as 0, and a value above the range in the last bucket.
   template <typename Rep, typename Period>
   void Add(std::chrono::duration<Rep, Period> value) {
     const auto us = std::chrono::duration_cast<Duration>(value).count();
@@ -27,7 +27,8 @@
   [[nodiscard]] std::uint64_t count() const { return count_; }
   [[nodiscard]] Duration max() const { return max_; }
 
-  // The upper edge of the bucket with the share-th value, `share` from 0 to 1; 0 if there is none.
+  // Returns the upper edge of the bucket with the `share` quantile, but at most max(). `share` is
+  // from 0 to 1. Returns 0 if the histogram is empty.
   [[nodiscard]] Duration Quantile(double share) const {
     const auto wanted = static_cast<std::uint64_t>(share * static_cast<double>(count_));
     std::uint64_t passed = 0;
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -39,7 +39,7 @@
   return spdlog::level::off;
 }
 
-// What became of a line.
+// How much of a line was written.
 enum class Written { kWhole, kPart, kNothing };
 
 Written WriteLine(int fd, std::string_view line) {
@@ -65,8 +65,8 @@
           duration_cast<milliseconds>(uptime).count()};
 }
 
-// A pipe has room for PIPE_BUF bytes when it is ready for writing, so a line that is cut to that
-// does not wait.
+// A pipe that is ready for writing has room for PIPE_BUF bytes, so writing a line that is truncated
+// to that length does not block.
 class DescriptorSink : public spdlog::sinks::base_sink<std::mutex> {
  public:
   DescriptorSink(int fd, Format format) : fd_(fd), format_(format) {}
@@ -87,7 +87,7 @@
  private:
   static constexpr std::size_t kMaxLine = 4096;  // PIPE_BUF
 
-  // False if the line could not be written whole.
+  // Returns false if the line could not be written completely.
   bool Put(std::string_view text) {
     std::string line = torn_ ? "\n" : "";
     line += text;
@@ -101,7 +101,7 @@
   const int fd_;
   const Format format_;
   std::uint64_t dropped_ = 0;
-  bool torn_ = false;  // the last line that was begun has no end
+  bool torn_ = false;  // the last line was only partly written
 };
 
 struct Loggers {
@@ -116,11 +116,11 @@
 
   const Format format;
   std::array<std::unique_ptr<spdlog::logger>, kConcerns> by_concern;
-  std::mutex mutex;  // guards the repeats
+  std::mutex mutex;  // guards `repeats`
   RepeatLimiter repeats;
 };
 
-// Kept to the end of the process: threads may log while it exits.
+// Never destroyed: threads may log while the process exits.
 Loggers*& Current() {
   static auto* current = new Loggers(LogOptions{});
   return current;
@@ -136,8 +136,9 @@
   out += kDigits[c & 15];
 }
 
-// In quotes, with what neither form can hold escaped. Bytes that are no ASCII are escaped as one
-// character each, for ids and faults may quote what a client sent.
+// Appends the text in quotes, with escapes that are valid in both logfmt and JSON. Non-ASCII bytes
+// are escaped as one character each, because ids and error texts may contain any bytes that a
+// client sent.
 void AppendQuoted(std::string& out, std::string_view text) {
   out += '"';
   for (const char c : text) {
@@ -165,7 +166,7 @@
   return true;
 }
 
-// The text form leaves its values as they are, line ends apart.
+// The text format writes values unchanged, except that line ends become spaces.
 void AppendValue(std::string& out, Format format, const Field::Value& value) {
   if (const auto* text = std::get_if<std::string_view>(&value)) {
     if (format == Format::kJson || (format == Format::kLogfmt && !IsPlain(*text))) {
@@ -180,7 +181,7 @@
   }
 }
 
-// RFC 3339, in UTC, with milliseconds.
+// Formats a Unix time in milliseconds as RFC 3339 in UTC.
 std::string TimeText(std::int64_t ms) {
   const auto seconds = static_cast<std::time_t>(ms / 1000);
   std::tm parts{};
--- a/src/observe/log.hpp
+++ b/src/observe/log.hpp
@@ -1,9 +1,9 @@
-// The structured log: one line an event, with a name, a level, a concern and typed fields.
+// The structured log: one line per event, with a name, a level, a concern and typed fields.
 //
-// Lines go to standard error by way of spdlog. No line ever waits: when whoever reads them stands
-// still, lines are dropped and counted, and the next line that fits says how many. The same holds
-// where the descriptor fails in any way. All of it may be called by any thread, small-stack ones as
-// well.
+// Lines are written to standard error through spdlog. Logging never blocks: if the reader does not
+// keep up or the descriptor fails, lines are dropped and counted, and the next line that can be
+// written is preceded by one with their number. All functions are thread-safe and may be called
+// from threads with small stacks.
 #ifndef BRASSFRONT_OBSERVE_LOG_HPP_
 #define BRASSFRONT_OBSERVE_LOG_HPP_
 
@@ -18,11 +18,11 @@
 
 enum class Level { kDebug, kInfo, kWarning, kError, kOff };
 
-// Text is `time +uptime name field=value ...` as people read it; logfmt and JSON have level and
-// concern too.
+// The text format is human-readable: `time +uptime name field=value ...`. The logfmt and JSON
+// formats also have the level and the concern.
 enum class Format { kText, kLogfmt, kJson };
 
-// One logger each, with a level of its own.
+// The part of the program that an event is about. Each concern has its own logger.
 enum class Concern {
   kService,
   kEngine,
@@ -58,34 +58,36 @@
 struct LogOptions {
   Format format = Format::kText;
   Level level = Level::kInfo;
-  int descriptor = 2;  // it stays the caller's
-  // Of repeats: so many lines of one event name a second and concern; the rest are counted, and the
-  // count goes with the next one as `repeats`. Ends of connections and messages are never left out.
+  int descriptor = 2;  // not owned
+  // Maximum lines per second that LogRateLimited writes for one event name. Further events are
+  // counted, and the next line has their number in the field `repeats`. Ends of connections and
+  // messages are logged without this limit.
   std::size_t max_repeats = 20;
 };
 
-// Before the first line; again only in tests. Without it lines have the options above.
+// Must be called before the first line; only tests call it again. If it is not called, the default
+// options apply.
 void SetUpLog(const LogOptions& options);
 
-// Whether a line would be written: for fields that cost something to make.
+// Returns whether a line would be written. Lets callers skip the computation of expensive fields.
 bool ShouldLog(Concern concern, Level level);
 
 void Log(Concern concern, Level level, std::string_view event, Fields fields = {});
-// The same, and left out where the event repeats too often.
+// Like Log, but at most LogOptions::max_repeats lines per second and event name.
 void LogRateLimited(Concern concern, Level level, std::string_view event, Fields fields = {});
 
-// For the command line; false if the name is none of them.
+// Parse command line values. Return false if the name is unknown.
 bool ParseFormat(std::string_view name, Format& format);
 bool ParseLevel(std::string_view name, Level& level);
 
-// When a line was written, in milliseconds. The uptime counts from the process's first line on the
-// steady clock: where the wall clock is stepped, it still tells what came after what.
+// The time of a line in milliseconds. The uptime is measured on the steady clock from the process's
+// first line, so it shows the order of lines even if the wall clock is stepped.
 struct LineTime {
   std::int64_t unix_ms = 0;
   std::int64_t uptime_ms = 0;
 };
 
-// The line without its end, as it would be written.
+// Returns the line as it would be written, without a line end.
 std::string FormatLine(Format format, const LineTime& time, Concern concern, Level level,
                        std::string_view event, Fields fields);
 
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 struct Registry {
-  std::mutex mutex;  // guards what follows
+  std::mutex mutex;  // guards `series`
   std::map<std::string, std::int64_t, std::less<>> series;
 };
 
-// Kept to the end of the process: threads may count while it exits.
+// Never destroyed: threads may count while the process exits.
 Registry& GetRegistry() {
   static auto* registry = new Registry;
   return *registry;
--- a/src/observe/metrics.hpp
+++ b/src/observe/metrics.hpp
@@ -1,7 +1,7 @@
-// Counters and gauges of the process, in the text form that Prometheus reads.
+// Counters and gauges of the process, in the Prometheus text format.
 //
-// A series is a name and at most one label. Series are few and their labels come from the program,
-// never from what a client or an endpoint sent. Any thread may call any function.
+// A series is a name and at most one label. There are few series: labels are defined by the program
+// and never contain input from a client or an endpoint. All functions are thread-safe.
 #ifndef BRASSFRONT_OBSERVE_METRICS_HPP_
 #define BRASSFRONT_OBSERVE_METRICS_HPP_
 
@@ -18,15 +18,15 @@
 
 // Adds to a counter.
 void Count(std::string_view name, const Label& label = {}, std::uint64_t by = 1);
-// A system call has failed with this errno. Counts it as `syscall_failures_total`, labelled with
-// both; errno stays as it is.
+// Counts a failed system call in `syscall_failures_total`, labelled with the call and the errno.
+// Leaves errno unchanged.
 void CountSystemCallFailure(std::string_view call, int error);
 // Sets a gauge.
 void SetGauge(std::string_view name, const Label& label, std::int64_t value);
 
-// All series, a line each, in the order of their names: `brassfront_NAME{label="value"} 3`.
+// Returns all series sorted by name, one per line: `brassfront_NAME{label="value"} 3`.
 [[nodiscard]] std::string FormatMetrics();
-// The same as one line of the log, without what is 0.
+// Logs all series that are not 0 in one line.
 void LogMetrics();
 
 }  // namespace brassfront::observe
--- a/src/observe/repeats.hpp
+++ b/src/observe/repeats.hpp
@@ -1,5 +1,5 @@
-// Which of many like events are told: so many a second of each name, and how many were left out.
-// Knows no clock; used under its owner's lock.
+// Limits how many events of each name are logged per second, and counts those that are suppressed.
+// Time is passed in by the caller. Not thread-safe: the owner guards it with a lock.
 #ifndef BRASSFRONT_OBSERVE_REPEATS_HPP_
 #define BRASSFRONT_OBSERVE_REPEATS_HPP_
 
@@ -19,11 +19,12 @@
 
   explicit RepeatLimiter(std::size_t most) : most_(most) {}
 
-  // Nothing if the event is to be left out; else how many were left out since the last one told.
+  // Returns nullopt if the event must be suppressed; otherwise the number of events that were
+  // suppressed since the last admitted one.
   std::optional<std::uint64_t> Admit(std::string_view name, Time now) {
     auto it = seen_.find(name);
     if (it == seen_.end()) {
-      // Names are literals in the code; guards against one that is made up at run time.
+      // Names are literals in the code. The limit bounds memory if one is generated at run time.
       if (seen_.size() >= kMaxNames) return 0;
       it = seen_.emplace(std::string(name), Seen{.from = now}).first;
     }
--- a/src/snapshot/condition_record.cpp
+++ b/src/snapshot/condition_record.cpp
@@ -61,7 +61,7 @@
   std::string payload_;
 };
 
-// Fields that are not there, or cannot be meant, make the whole payload invalid.
+// A missing field or an out-of-range value makes the whole payload invalid.
 class FieldReader {
  public:
   explicit FieldReader(std::string_view payload) : rest_(payload) {}
@@ -127,7 +127,7 @@
   bool is_valid_ = true;
 };
 
-// ---- the fields in their stored order, for both directions ----
+// ---- the fields in their stored order, for encoding and decoding ----
 
 template <typename Fields, typename Record>
 void VisitLimit(Fields& field, Record& limit) {
@@ -179,7 +179,7 @@
   field(header.records);
 }
 
-// The payload of the frame at the begin; none if it is damaged.
+// Returns the payload of the frame at the beginning of `bytes`, or nullopt if it is damaged.
 std::optional<std::string_view> ReadPayload(std::string_view bytes) {
   if (bytes.size() < kFrameBytes) return std::nullopt;
   const std::uint64_t size = ReadNumber(bytes.substr(0, kFrameFieldBytes));
--- a/src/snapshot/condition_record.hpp
+++ b/src/snapshot/condition_record.hpp
@@ -1,8 +1,9 @@
-// The codec of stored conditions, and the only place that knows their stored form.
+// The codec of stored conditions; their stored format is defined only here.
 //
-// A record is a frame (the payload's length and its CRC-32, 4 bytes each) and the payload: numbers,
-// low byte first. Fields may be added behind the last one, never changed: a payload that is longer
-// than this version's is read as far as it is known, a shorter one is not read. No I/O.
+// A record is a frame (the payload's length and its CRC-32, 4 bytes each) and the payload. Numbers
+// are little-endian. Fields may be added after the last one, never changed: if a payload is longer
+// than this version's, the unknown fields at its end are ignored; a shorter payload is invalid. No
+// I/O.
 #ifndef BRASSFRONT_SNAPSHOT_CONDITION_RECORD_HPP_
 #define BRASSFRONT_SNAPSHOT_CONDITION_RECORD_HPP_
 
@@ -16,10 +17,10 @@
 
 namespace brassfront {
 
-// What a condition is of. The numbers are stored: never change one.
+// The kind of object that a condition describes. The values are stored and must never change.
 enum class ConditionKind : std::uint8_t { kEndpoint = 1, kDestination = 2 };
 
-// Names an endpoint or destination over all processes.
+// Identifies an endpoint or destination across processes.
 struct ConditionKey {
   ConditionKind kind = ConditionKind::kEndpoint;
   std::uint64_t id = 0;
@@ -30,33 +31,33 @@
   }
 };
 
-// By a 64-bit hash (FNV-1a) of the endpoint's id in the list.
+// The key is a 64-bit FNV-1a hash of `name`, the endpoint's id in the endpoint list.
 [[nodiscard]] ConditionKey EndpointKey(std::string_view name);
 [[nodiscard]] ConditionKey DestinationKey(dispatch_policy::DestinationId destination);
 
 struct ConditionRecord {
   ConditionKey key;
   dispatch_policy::Time recorded_at{};
-  dispatch_policy::EndpointCondition endpoint{};        // of kEndpoint
-  dispatch_policy::DestinationCondition destination{};  // of kDestination
+  dispatch_policy::EndpointCondition endpoint{};        // for kEndpoint
+  dispatch_policy::DestinationCondition destination{};  // for kDestination
   dispatch_policy::RateLimitCondition limit{};
 
-  // Whether they say the same, whenever they were recorded.
+  // Compares everything except recorded_at.
   [[nodiscard]] bool Equals(const ConditionRecord& other) const;
 };
 
-// Who wrote the records of a file, and in which start of the machine: times are of its monotonic
-// clock.
+// The process that wrote the records of a file, and the boot of the machine in which it ran. Times
+// in the file are readings of that boot's monotonic clock.
 struct ConditionHeader {
   std::string boot_id;
   std::int64_t process_id = 0;
   // False if something that the process observed could not be stored.
   bool is_complete = true;
-  // In the file, at least.
+  // Minimum number of records in the file.
   std::uint64_t records = 0;
 };
 
-// Bytes of a record at most, its frame included.
+// Maximum size of a record, including its frame.
 inline constexpr std::size_t kMaxConditionRecordBytes = 256;
 
 [[nodiscard]] std::string Encode(const ConditionRecord& record);
@@ -64,15 +65,15 @@
 
 enum class SlotState { kFree, kUsed, kDamaged };
 
-// From the bytes of a whole slot.
+// The content of a slot.
 struct DecodedSlot {
   SlotState state = SlotState::kFree;
-  ConditionRecord record{};  // of kUsed
+  ConditionRecord record{};  // valid for kUsed
 };
 
-// Never fails on any bytes: what is not understood is damaged.
+// Decodes all bytes of a slot. Accepts any bytes: a slot that can't be decoded is kDamaged.
 [[nodiscard]] DecodedSlot DecodeSlot(std::string_view slot);
-// None if it is damaged or not there.
+// Returns nullopt if the header is damaged or missing.
 [[nodiscard]] std::optional<ConditionHeader> DecodeHeader(std::string_view bytes);
 
 }  // namespace brassfront
--- a/src/snapshot/condition_store.cpp
+++ b/src/snapshot/condition_store.cpp
@@ -19,11 +19,11 @@
 using observe::Level;
 
 constexpr const char* kFileName = "/conditions";
-// The first bytes of a file; the number is that of the layout.
+// The first bytes of a file; the digits are the version of the layout.
 constexpr std::string_view kMagic = "BRCOND01";
 constexpr std::size_t kHeaderBytes = 256;
 constexpr std::size_t kInitialSlots = 64;
-constexpr std::size_t kDiskShare = 8;  // the file takes at most one part in so many
+constexpr std::size_t kDiskDivisor = 8;  // the file takes at most one eighth of the disk limit
 
 std::size_t FileBytes(std::size_t slots) { return kHeaderBytes + slots * kMaxConditionRecordBytes; }
 
@@ -32,7 +32,7 @@
 }  // namespace
 
 std::size_t ConditionStore::MaxBytes(std::size_t disk_bytes) {
-  return std::max(disk_bytes / kDiskShare, FileBytes(kInitialSlots));
+  return std::max(disk_bytes / kDiskDivisor, FileBytes(kInitialSlots));
 }
 
 ConditionStore::ConditionStore(FolderOwner& owner, std::size_t max_bytes, Time now)
@@ -75,7 +75,7 @@
   Entry& entry = found->second;
   if (entry.record.Equals(record)) return;
   entry.record = record;
-  if (entry.slot) Store(entry);  // else Retry does it
+  if (entry.slot) Store(entry);  // otherwise Retry stores it
 }
 
 void ConditionStore::Erase(const ConditionKey& key) {
@@ -83,7 +83,7 @@
   if (found == entries_.end()) return;
   if (const auto slot = found->second.slot) {
     --header_.records;
-    WriteHeader();  // first: there are never fewer records than it says
+    WriteHeader();  // before the slot is cleared, so the file never has fewer records than this
     std::ranges::fill(SlotBytes(*slot), '\0');
     free_slots_.push_back(*slot);
   } else {
@@ -92,8 +92,8 @@
   entries_.erase(found);
 }
 
-// Makes room for a newer condition: no wait is lost, and the next process is told that one is
-// missing.
+// Makes room for a newer condition by erasing the oldest one. Conditions with a wait that is not
+// over are evicted last. The header then tells the next process that a condition is missing.
 void ConditionStore::EvictOldest(Time now) {
   const auto is_older = [&](const auto& left, const auto& right) {
     const auto order = [&](const ConditionRecord& record) {
@@ -136,8 +136,9 @@
                 {"bytes", file_.bytes().size()}});
 }
 
-// The number of records that the predecessor has left; none if the file is not all that it knew. A
-// file of an earlier start of the machine, of another layout, or with a damaged header is emptied.
+// Returns the number of records that the predecessor left, or nullopt if the file does not have
+// everything that the predecessor observed. Clears a file that is from an earlier boot of the
+// machine, has another layout or has a damaged header.
 std::optional<std::uint64_t> ConditionStore::TakeOverHeader() {
   const std::int64_t predecessor = owner_.predecessor().process_id;
   const std::string_view stored = View(file_.bytes().first(kHeaderBytes));
@@ -154,14 +155,15 @@
   return header->records;
 }
 
-// Returns the number of records; none if any is damaged. What is in memory already is newer.
+// Returns the number of records, or nullopt if any is damaged. Ignores records whose key is already
+// in memory, because the entry in memory is newer.
 std::optional<std::uint64_t> ConditionStore::ReadSlots(Time now) {
   std::uint64_t intact_records = 0;
   bool any_damaged = false;
   for (std::size_t slot = slots(); slot-- > 0;) {
     DecodedSlot decoded = DecodeSlot(View(SlotBytes(slot)));
     const ConditionRecord& record = decoded.record;
-    // Nothing was recorded later than now.
+    // A record time in the future means damage.
     const bool damaged = decoded.state == SlotState::kDamaged || record.recorded_at > now;
     const bool is_record = decoded.state == SlotState::kUsed && !damaged;
     any_damaged = any_damaged || damaged;
@@ -182,7 +184,7 @@
   std::ranges::copy(text, file_.bytes().begin());
 }
 
-// Puts the entry into its slot, or into a free one.
+// Writes the entry to its slot, or to a free one if it has none.
 void ConditionStore::Store(Entry& entry) {
   const bool is_new = !entry.slot;
   if (is_new) entry.slot = TakeFreeSlot();
--- a/src/snapshot/condition_store.hpp
+++ b/src/snapshot/condition_store.hpp
@@ -1,10 +1,12 @@
-// What the forwarder has observed of endpoints and destinations, over all its processes: the file
-// `conditions` in the state folder, mapped into memory (mapped_file.hpp). It holds a header and
-// slots of equal size, one for each endpoint or destination of which something binds.
+// Persistent conditions: what this forwarder and its earlier processes have observed of endpoints
+// and destinations. They are stored in the file `conditions` in the state folder, which is mapped
+// into memory (mapped_file.hpp). The file has a header and slots of equal size, one for each
+// endpoint or destination with a condition that is still in force.
 //
-// A condition outlasts the process from the moment at which Put returns. Where the folder can't be
-// used it is kept in memory, and stored once the folder is well. Records of an earlier start of the
-// machine are not read: its clock is not this one's. Earlier versions pass over the file.
+// A condition survives the end of the process once Put has returned. While the folder can't be
+// used, conditions stay in memory and are stored when it is usable again. Records of an earlier
+// boot of the machine are not read, because its monotonic clock was a different one. Earlier
+// versions of the program ignore the file.
 #ifndef BRASSFRONT_SNAPSHOT_CONDITION_STORE_HPP_
 #define BRASSFRONT_SNAPSHOT_CONDITION_STORE_HPP_
 
@@ -23,39 +25,40 @@
 
 namespace brassfront {
 
-// For one thread at a time. Times are of the machine's monotonic clock.
+// Not thread-safe. Times are readings of the machine's monotonic clock.
 class ConditionStore {
  public:
   using Time = dispatch_policy::Time;
 
-  // What the file may take of so much space on the disk: an eighth of it, but 64 slots at least.
+  // Returns the maximum size of the file for a disk limit: an eighth of it, but at least 64 slots.
   [[nodiscard]] static std::size_t MaxBytes(std::size_t disk_bytes);
 
-  // Opens the file, if the folder is this process's. The file stays within `max_bytes`, or 64 slots
-  // if that is more. The owner outlives the store.
+  // Opens the file if this process owns the folder. The file takes at most `max_bytes`, or 64 slots
+  // if that is more. The owner must outlive the store.
   ConditionStore(FolderOwner& owner, std::size_t max_bytes, Time now);
 
-  // Tries again to open the file, and to store what could not be stored. True if the file could be
-  // opened now for the first time, and may hold what Find did not find before.
+  // Retries to open the file and to store conditions that could not be stored. Returns true if this
+  // call opened the file; Find may then return conditions that it did not find before.
   bool Retry(Time now);
 
-  // None if nothing is known.
+  // Returns nullopt if there is no condition for the key.
   [[nodiscard]] std::optional<ConditionRecord> Find(const ConditionKey& key) const;
-  // All destinations of which something is known.
+  // Returns the conditions of all destinations.
   [[nodiscard]] std::vector<ConditionRecord> Destinations() const;
-  // Replaces what is known. Writes nothing if it says the same.
+  // Adds or replaces a condition. Writes nothing if only its record time has changed.
   void Put(const ConditionRecord& record);
-  // Nothing of it binds any more.
+  // Removes a condition that is no longer in force.
   void Erase(const ConditionKey& key);
 
-  // Whether all that the predecessor observed is known here; true where there was none.
+  // Returns whether the store has everything that the predecessor observed; true if there was no
+  // predecessor.
   [[nodiscard]] bool is_complete() const { return is_complete_; }
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
  private:
   struct Entry {
     ConditionRecord record;
-    std::optional<std::size_t> slot;  // none while it is in memory alone
+    std::optional<std::size_t> slot;  // nullopt while the entry is only in memory
   };
 
   void EvictOldest(Time now);
--- a/src/spool/file.cpp
+++ b/src/spool/file.cpp
@@ -11,7 +11,7 @@
 namespace brassfront {
 namespace {
 
-// Of one transfer. A call that is interrupted each time fails in the end, like any other.
+// Maximum interrupted calls of one transfer; after that the transfer fails with EINTR.
 constexpr int kMaxInterruptions = 100;
 
 }  // namespace
--- a/src/spool/file.hpp
+++ b/src/spool/file.hpp
@@ -1,4 +1,5 @@
-// A file that is read and written at offsets. No error leaves a partial write behind.
+// A file that is read and written at offsets. A failed write is truncated, so no part of it
+// remains.
 #ifndef BRASSFRONT_SPOOL_FILE_HPP_
 #define BRASSFRONT_SPOOL_FILE_HPP_
 
@@ -10,10 +11,10 @@
 
 namespace brassfront {
 
-// Owns the descriptor. For one thread at a time. Where a method fails, errno tells why.
+// Owns the descriptor. Not thread-safe. A method that fails sets errno.
 class File {
  public:
-  // Closed.
+  // Constructs a closed file.
   File() = default;
   ~File();
   File(File&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
@@ -22,25 +23,25 @@
     return *this;
   }
 
-  // Each returns a closed file on failure.
-  // For reading and writing; made if absent.
+  // The three functions below return a closed file on failure.
+  // Opens the file for reading and writing; creates it if it does not exist.
   static File Open(const std::string& path);
   static File OpenToRead(const std::string& path);
-  // For reading and writing; made if absent, and emptied.
+  // Opens the file for reading and writing and truncates it; creates it if it does not exist.
   static File OpenEmpty(const std::string& path);
 
   [[nodiscard]] bool is_open() const { return fd_ >= 0; }
-  // -1 if it is closed. It stays the file's.
+  // Returns -1 if the file is closed. The file keeps ownership of the descriptor.
   [[nodiscard]] int descriptor() const { return fd_; }
-  // Nothing on failure.
+  // Returns nullopt on failure.
   [[nodiscard]] std::optional<std::size_t> Size() const;
-  // Exactly `length` bytes, or nothing; errno is 0 then if the file is shorter.
+  // Reads exactly `length` bytes. Returns nullopt on failure; errno is 0 if the file is too short.
   [[nodiscard]] std::optional<std::string> Read(std::size_t offset, std::size_t length) const;
-  // Writes all of the bytes. On failure returns false and truncates the file to `offset`: only for
-  // writing at its end.
+  // Writes all of the bytes. On failure returns false and truncates the file to `offset`, so it may
+  // only be used to write at the end of the file.
   [[nodiscard]] bool Write(std::size_t offset, std::string_view bytes);
   bool Truncate(std::size_t size);
-  // Returns once all that was written is on the disk; false if that failed.
+  // Calls fsync(2): returns once everything written is on the disk. False on failure.
   [[nodiscard]] bool Synchronize();
 
  private:
--- a/src/spool/folder_owner.cpp
+++ b/src/spool/folder_owner.cpp
@@ -21,7 +21,7 @@
   return text;
 }
 
-// Lines of a key and a number; what is torn or not understood says nothing.
+// Each line has a key and a number. Incomplete lines and unknown keys are ignored.
 OwnerNote Parse(const std::string& text) {
   OwnerNote note;
   std::istringstream lines(text);
@@ -78,7 +78,7 @@
   if (has_note_) Write({.process_id = getpid(), .open_messages = open_messages});
 }
 
-// One that fails leaves the note empty or torn, which says nothing to anyone.
+// A failed write leaves the note empty or incomplete; readers then treat its fields as unknown.
 void FolderOwner::Write(const OwnerNote& note) {
   File file = File::OpenEmpty(path());
   if (file.is_open()) static_cast<void>(file.Write(0, Format(note)));
--- a/src/spool/folder_owner.hpp
+++ b/src/spool/folder_owner.hpp
@@ -1,13 +1,14 @@
-// Which process owns a state folder. Only the owner reads, writes, cuts, renames or removes what is
-// in it: a process that is started while its predecessor is still there waits, however that one
-// ends.
+// Ownership of a state folder. Only the owner reads, writes, truncates, renames or removes files in
+// it. A process that starts while its predecessor is still running waits until the predecessor has
+// ended, in whatever way that happens.
 //
-// Ownership is a lock on the file `owner`, which the kernel drops at any death of the process.
-// Where the file system has no locks, the process goes on without: it has the listening address for
-// itself, which a forwarder takes over before it touches the folder (cli/state_takeover.hpp). The
-// file's text, the note, is for people and for the next owner: the owner's process id, and after a
-// graceful end how many messages it left open. The lock alone leaves the note as it is: where the
-// predecessor has no lock, it may still be there and write its note.
+// Ownership is a lock on the file `owner`; the kernel releases it however the process ends. If the
+// file system does not support locks, the process continues without one: it still has exclusive use
+// of the listening address, which a forwarder acquires before it accesses the folder
+// (cli/state_takeover.hpp). The file's text, the note, is for operators and the next owner. It
+// contains the owner's process id and, after a graceful shutdown, the number of messages that it
+// left open. Acquiring the lock does not change the note: a predecessor that runs without a lock
+// may still be running and write its note.
 #ifndef BRASSFRONT_SPOOL_FOLDER_OWNER_HPP_
 #define BRASSFRONT_SPOOL_FOLDER_OWNER_HPP_
 
@@ -21,41 +22,41 @@
 
 namespace brassfront {
 
-// What a process has left in the file `owner`.
+// The content of the file `owner`.
 struct OwnerNote {
   std::int64_t process_id = 0;               // 0: unknown
-  std::optional<std::size_t> open_messages;  // none: it did not end gracefully
+  std::optional<std::size_t> open_messages;  // nullopt: the process did not shut down gracefully
 };
 
-// Any thread may call any method.
+// Thread-safe.
 class FolderOwner {
  public:
-  // The file takes no more on the disk.
+  // Maximum disk space of the file `owner`.
   static constexpr std::size_t kMaxBytesOnDisk = 512;
 
   explicit FolderOwner(std::string folder) : folder_(std::move(folder)) {}
 
   [[nodiscard]] const std::string& folder() const { return folder_; }
 
-  // Tries once to lock the folder, without waiting; harmless once it is locked. kUnsupported counts
-  // as locked. On failure errno tells why.
+  // Tries once to lock the folder, without waiting. Does nothing if it is already locked.
+  // kUnsupported counts as locked. On failure errno is set.
   FileLock::Outcome Lock();
-  // Locks the folder, if that was not done, and takes over the note: reads the predecessor's and
-  // writes this process's. Harmless once that is done. To be called by a process that has the
-  // listening address.
+  // Locks the folder if it is not locked yet, reads the predecessor's note and replaces it with
+  // this process's note. Does nothing if that is already done. The caller must own the listening
+  // address.
   FileLock::Outcome Acquire();
-  // The same, for those who ask nothing else.
+  // Calls Acquire and returns whether this process owns the folder.
   [[nodiscard]] bool Owns() { return IsOwned(Acquire()); }
   [[nodiscard]] static bool IsOwned(FileLock::Outcome outcome) {
     return outcome == FileLock::Outcome::kAcquired || outcome == FileLock::Outcome::kUnsupported;
   }
 
-  // The previous owner as it left the folder; known after Acquire.
+  // Returns the note of the previous owner; known after Acquire.
   [[nodiscard]] OwnerNote predecessor() const;
-  // Who owns the folder now, for one that does not. While the owner waits for its listening
-  // address, this is still the owner before.
+  // Reads the current owner's note, for a process that does not own the folder. While the owner
+  // waits for its listening address, the note is still that of the previous owner.
   [[nodiscard]] OwnerNote ReadHolder() const;
-  // To be called by the owner at its graceful end.
+  // Called by the owner at the end of a graceful shutdown.
   void RecordGracefulEnd(std::size_t open_messages);
 
  private:
@@ -66,7 +67,7 @@
   const std::string folder_;
   mutable std::mutex mutex_;
   FileLock lock_;
-  std::optional<FileLock::Outcome> locked_as_;  // none: not locked
+  std::optional<FileLock::Outcome> locked_as_;  // nullopt: not locked
   bool has_note_ = false;
   OwnerNote predecessor_;
 };
--- a/src/spool/message_history.hpp
+++ b/src/spool/message_history.hpp
@@ -1,5 +1,5 @@
-// What a spool's file says of one message, record by record: accepted by one process, tried and
-// ended by the next.
+// Lists the records of one message in a spool file. They may come from several processes: one
+// process may accept the message and a later one attempt and finish it.
 #ifndef BRASSFRONT_SPOOL_MESSAGE_HISTORY_HPP_
 #define BRASSFRONT_SPOOL_MESSAGE_HISTORY_HPP_
 
@@ -13,7 +13,7 @@
 
 namespace brassfront::spool {
 
-// A place in which records of the message may have been lost.
+// A damaged part of the file, in which records of the message may have been lost.
 struct DamagedPlace {
   std::size_t bytes = 0;
 };
@@ -25,12 +25,12 @@
       what;
 };
 
-// The records of the messages with this client's id, in the order of the file, and the damaged
-// places behind the first. Those that a compaction has left out are not there any more. A file that
-// can't be read to its end gives what could be read.
+// Returns the records of the messages with this client-assigned id, in file order, and the damaged
+// parts of the file after the first of them. Records that a compaction removed are missing. If a
+// read fails, returns the records before the failure.
 [[nodiscard]] std::vector<HistoryStep> ReadHistory(const File& file, const std::string& client_id);
 
-// One line for people, without its end.
+// Returns one human-readable line, without a line end.
 [[nodiscard]] std::string Describe(const HistoryStep& step);
 
 }  // namespace brassfront::spool
--- a/src/spool/spool.cpp
+++ b/src/spool/spool.cpp
@@ -16,22 +16,24 @@
 constexpr const char* kFileName = "/spool";
 constexpr const char* kCompactedFileName = "/spool.new";
 constexpr const char* kKeptFileName = "/spool.cut";
-constexpr std::size_t kMaxKeptBytes = std::size_t{64} * 1024;  // of damaged places
-constexpr std::size_t kBlockBytes = 512;  // the disk limit counts files in whole blocks
+constexpr std::size_t kMaxKeptBytes = std::size_t{64} * 1024;
+constexpr std::size_t kBlockBytes = 512;  // file sizes count towards the disk limit in whole blocks
 constexpr std::size_t kMaxEndpointBytes = 256;
-// Stands for the endpoint of an attempt whose record was lost.
+// The endpoint of an attempt whose record was lost.
 constexpr const char* kUnknownEndpoint = "";
-// Bytes of finished messages that make a compaction worth its writes.
+// A compaction is due once it would free more than this; less does not justify the writes.
 constexpr std::size_t kCompactionThresholdBytes = std::size_t{128} * 1024;
-// Kept free for the attempts and ends of accepted messages: those records may not be refused.
-// Twelve attempts with their outcomes take some 0.8 KiB, and 237 messages may be in flight.
+// Reserved for the attempts and outcomes of accepted messages, because those records must not be
+// rejected. Twelve attempts with their outcomes take about 0.8 KiB, and 237 messages may be in
+// flight.
 constexpr std::size_t kReservedBytes = std::size_t{192} * 1024;
 
 std::size_t RoundUpToBlocks(std::size_t bytes) {
   return (bytes + kBlockBytes - 1) / kBlockBytes * kBlockBytes;
 }
 
-// From a stored MessageAccepted record; none if it is damaged, or the record of something else.
+// Decodes a stored MessageAccepted record. Returns nullopt if it is damaged or is not the
+// MessageAccepted record of this message.
 std::optional<SpooledMessage> DecodeAccepted(SpoolId number, std::string_view stored) {
   const auto header = spool::DecodeFrameHeader(stored.substr(0, spool::kFrameBytes));
   const std::string_view payload = stored.substr(spool::kFrameBytes);
@@ -75,7 +77,7 @@
   return Spool(std::move(folder), std::move(report));
 }
 
-// Nothing in the folder is touched before.
+// Called before any file in the folder is accessed.
 bool Spool::OwnsFolder() {
   const FileLock::Outcome outcome = owner_->Acquire();
   if (FolderOwner::IsOwned(outcome)) return true;
@@ -87,11 +89,11 @@
   return false;
 }
 
-// Opens and reads the file. What failed before is forgotten; nothing is written but what Prepare
-// writes.
+// Opens and reads the file, and discards the state of an earlier failed attempt. Writes only what
+// Prepare writes.
 void Spool::Open() {
   if (!OwnsFolder()) return;
-  std::remove((folder_ + kCompactedFileName).c_str());  // of an interrupted compaction
+  std::remove((folder_ + kCompactedFileName).c_str());  // left by an interrupted compaction
   open_messages_.clear();
   unrecovered_.clear();
   file_ = File::Open(folder_ + kFileName);
@@ -150,7 +152,7 @@
       has_replaced = true;
     }
     recovered.push_back({number, std::move(*message), open.attempts, open.give_up});
-    // It becomes this attempt before any other record is written.
+    // RecordLostAttempts writes this attempt to the file before any other record is written.
     if (open.attempt_may_be_lost) {
       recovered.back().attempts.push_back(
           {.endpoint = kUnknownEndpoint, .started_at = latest_time_});
@@ -160,9 +162,9 @@
   return recovered;
 }
 
-// What is left of a message whose record was intact when the file was read, and is not any more:
-// enough to give it up. The next compaction writes that in place of the record, whose bytes are
-// kept beside the spool before.
+// Returns a substitute for a message whose record was intact when the file was read but has been
+// damaged since. The substitute has only what is needed to give the message up. The next compaction
+// writes it in place of the damaged record, whose bytes are first saved to a separate file.
 SpooledMessage Spool::ReplaceRecord(SpoolId number, OpenMessage& open) {
   observe::Count("spool_unreadable_messages_total");
   SpooledMessage message;
@@ -197,7 +199,7 @@
   if (found == open_messages_.end() || found->second.give_up) return;
   if (Append(spool::MessageGivenUp{number, give_up}, Space::kReserved)) return;
   if (pending_give_ups_.emplace(number, give_up).second) {
-    report_("spool: a give-up could not be noted yet");
+    report_("spool: a give-up could not be recorded yet");
   }
 }
 
@@ -205,12 +207,12 @@
   if (open_messages_.count(number) == 0) return;
   if (Append(spool::MessageFinished{number}, Space::kReserved)) return;
   pending_ends_.insert(number);
-  report_("spool: an end could not be noted yet");
+  report_("spool: the end of a message could not be recorded yet");
 }
 
 // ======== reading ========
 
-// False if a read failed; errno tells why. Nothing is known of the file then.
+// Returns false if a read failed, with errno set. The content of the file is then unknown.
 bool Spool::Load() {
   file_bytes_ = compacted_bytes_ = kFileHeader.size();
   damaged_.clear();
@@ -226,10 +228,10 @@
   if (!header) return false;
   if (*header == kFileHeader) return LoadRecords(header_bytes);
   file_bytes_ = 0;
-  // A prefix of the header was torn while the file was made.
+  // A prefix of the header is not damage: the process ended while it created the file.
   if (!kFileHeader.starts_with(*header)) NoteDamage({0, header_bytes});
   if (!LoadRecords(header_bytes)) return false;
-  // Where records have outlived the header, a compaction writes a new one in front of them.
+  // If there are intact records after a damaged header, a compaction writes a new header.
   header_is_due_ = file_bytes_ == 0;
   return true;
 }
@@ -253,14 +255,14 @@
       case spool::Reader::Outcome::kRecord:
         const auto apply = [&](const auto& record) { return Apply(record, item.extent); };
         if (!std::visit(apply, item.record)) NoteDamage(item.extent);
-        // A damaged place that lies before this record can't be cut off.
+        // Damage before this record can't be removed by truncating the file.
         compaction_is_due_ = compaction_is_due_ || !damaged_.empty();
         file_bytes_ = item.extent.end();
     }
   }
 }
 
-// An attempt of any message that is open by now may be among what was lost.
+// The lost records may include an attempt of any message that is open at this point of the file.
 void Spool::NoteDamage(const Extent& extent) {
   report_("spool damaged: " + std::to_string(extent.bytes) + " bytes at offset " +
           std::to_string(extent.offset) + " left out");
@@ -268,13 +270,13 @@
   for (auto& [number, open] : open_messages_) open.attempt_may_be_lost = true;
 }
 
-// Its record was never written completely, so nothing that depends on it was done.
+// The last record was never completely written, so nothing that depends on it was done.
 void Spool::NoteTornTail(const Extent& extent) {
   report_("spool tail unreadable: " + std::to_string(extent.bytes) + " bytes");
   damaged_.push_back(extent);
 }
 
-// ======== what a record changes ========
+// ======== applying records ========
 
 bool Spool::Apply(const spool::MessageAccepted& record, const Extent& extent) {
   next_number_ = std::max(next_number_, record.number + 1);
@@ -337,8 +339,8 @@
 
 // ======== writing ========
 
-// Brings the file into the state in which records can be appended. False if the folder fails: then
-// it is tried again before the next record.
+// Prepares the file for appending records. Returns false on failure; it is called again before the
+// next record.
 bool Spool::Prepare() {
   if (!file_.is_open() || !RemoveDamage()) return false;
   if (header_is_due_) {
@@ -348,12 +350,12 @@
   }
   if (anchor_is_due_) anchor_is_due_ = !Write(clock_.anchor(), Space::kReserved);
   if (anchor_is_due_ || !RecordLostAttempts()) return false;
-  // Where it can't be done now, reading passes over the damaged places once more at the next start.
+  // If the compaction fails, the damage stays in the file and is skipped again at the next start.
   if (std::exchange(compaction_is_due_, false)) Compact();
   return true;
 }
 
-// Keeps the damaged places beside the spool and cuts off those at the file's end.
+// Saves the damaged bytes to a separate file, and truncates the spool after its last intact record.
 bool Spool::RemoveDamage() {
   if (!damaged_.empty() && !KeepDamaged()) return false;
   damaged_.clear();
@@ -362,9 +364,9 @@
   return true;
 }
 
-// Writes the first bytes of the damaged places to a file of their own, for people to look at,
-// behind those that this process has kept before. False if they can't be read or kept now, for
-// which there is another time; a full disk is not waited for.
+// Saves the first bytes of the damaged parts to a separate file for inspection, after those that
+// this process has already saved. Returns false if they can't be read or written now, and is then
+// called again later. If the disk is full, they are discarded and the result is true.
 bool Spool::KeepDamaged() {
   const std::size_t begin = has_kept_ ? std::min(kept_bytes_, kMaxKeptBytes) : 0;
   std::string kept_text;
@@ -383,7 +385,7 @@
   return true;
 }
 
-// Records an attempt of unknown outcome for each message of which one may be lost.
+// Records an attempt of unknown outcome for each message that may have lost an attempt record.
 bool Spool::RecordLostAttempts() {
   for (auto& [number, open] : open_messages_) {
     if (!open.attempt_may_be_lost) continue;
@@ -395,7 +397,7 @@
   return true;
 }
 
-// False if something is still to be recorded.
+// Writes the pending records. Returns false if some of them are still pending.
 bool Spool::FlushPending() {
   while (!pending_not_run_.empty()) {
     const PendingNotRun pending = pending_not_run_.back();
@@ -427,7 +429,7 @@
   const std::size_t additional_bytes =
       bytes.size() + (space == Space::kUnreserved ? kReservedBytes : 0);
   if (IsCompactionDue(additional_bytes) && !Compact()) {
-    // On a failing disk, not again for each record.
+    // Avoids another attempt for each record while the disk fails.
     next_compaction_bytes_ = file_bytes_ + kCompactionThresholdBytes;
   }
   if (!Fits(additional_bytes) || !file_.Write(file_bytes_, bytes)) return false;
@@ -436,7 +438,7 @@
   return true;
 }
 
-// The file and its compaction must fit on the disk together.
+// Returns whether the file and its compacted copy fit within the disk limit at the same time.
 bool Spool::Fits(std::size_t additional_bytes) const {
   return RoundUpToBlocks(file_bytes_ + additional_bytes) +
              RoundUpToBlocks(compacted_bytes_ + additional_bytes) + RoundUpToBlocks(kept_bytes_) <=
@@ -449,7 +451,7 @@
   return !Fits(additional_bytes) && file_bytes_ > compacted_bytes_;
 }
 
-// Writes the open messages to a new file, which then replaces the old one.
+// Writes the open messages to a new file, and replaces the current file with it.
 bool Spool::Compact() {
   const std::string path = folder_ + kCompactedFileName;
   File compacted = File::OpenEmpty(path);
--- a/src/spool/spool.hpp
+++ b/src/spool/spool.hpp
@@ -1,15 +1,15 @@
-// The durable spool: one append-only file of records (spool_record.hpp) in a folder that outlasts
-// the process. It holds each accepted message with its attempts, until the message is finished.
+// The durable spool: one append-only file of records (spool_record.hpp) in a folder that outlives
+// the process. It stores each accepted message with its attempts until the message is finished.
 //
-// Nothing is synced: what was written survives the end of the process, by SIGKILL as well, not that
-// of the machine. A damaged place costs the records in it alone: reading goes on behind it, its
-// offset is reported, and its first bytes are kept in a file beside the spool. An attempt may have
-// been among what was lost, so a message that was open before the place counts as one that may have
-// run. For one thread. Times are of the clock of spool_clock.hpp.
+// Nothing is synced: written records survive the end of the process, including SIGKILL, but not a
+// crash of the machine. Damage loses only the records that it covers: reading continues after it,
+// its offset is reported, and its first bytes are saved to a file next to the spool. An attempt may
+// be among the lost records, so a message that was open before the damage counts as possibly run.
+// Not thread-safe. Times are those of spool_clock.hpp.
 //
-// The folder may fail for a while. A read that fails says nothing about the file: the spool is not
-// in use then until Retry could read it. A write that fails is rejected where nothing depends on
-// it, and otherwise made again by Retry and before the next write.
+// The folder may fail temporarily. After a failed read the file's content is unknown, and the spool
+// is unavailable until Retry has read it. A failed write is returned as an error where the caller
+// can still reject the operation; other writes are repeated by Retry and before the next write.
 #ifndef BRASSFRONT_SPOOL_SPOOL_HPP_
 #define BRASSFRONT_SPOOL_SPOOL_HPP_
 
@@ -33,81 +33,84 @@
 struct SpooledAttempt {
   std::string endpoint;
   UnixMs started_at{};
-  bool known_not_run = false;  // its outcome showed that
+  bool known_not_run = false;  // the attempt's outcome showed that it did not run
 };
 
-// A message that is still owed, and what was tried for it.
+// An unfinished message and its attempts.
 struct RecoveredMessage {
   SpoolId spool_id = 0;
   SpooledMessage message;
   std::vector<SpooledAttempt> attempts;
-  std::optional<SpooledGiveUp> give_up{};  // it must not be tried again then
+  std::optional<SpooledGiveUp> give_up{};  // if present, the message must not be attempted again
 };
 
 class Spool {
  public:
-  // Called with one line for people, in the calling thread.
+  // Called with one human-readable line, in the thread that calls the spool.
   using Report = std::function<void(const std::string&)>;
 
-  // Opens the folder's file or makes it, and removes damaged places. The file and its compaction
-  // stay within `disk_bytes` together. A folder that can't be used, or is owned by another process,
-  // is reported, and then no message is accepted until Retry finds it well. The owner outlives the
-  // spool.
+  // Opens or creates the folder's file, and removes damage. The file and its compacted copy
+  // together stay within `disk_bytes`. A folder that can't be used or is owned by another process
+  // is reported, and no message is accepted until Retry succeeds. The owner must outlive the spool.
   Spool(FolderOwner& owner, std::size_t disk_bytes, Report report);
 
-  // For inspection: the file stays as it is, and no message is accepted.
+  // Opens the file for inspection: it is not changed, and no message is accepted.
   static Spool OpenToRead(std::string folder, Report report);
 
-  // Tries again what has failed: to open and read the file, to record ends of messages and
-  // outcomes of attempts, to compact. To be called every second or so.
+  // Retries failed operations: opening and reading the file, recording ends of messages and
+  // outcomes of attempts, and compaction. To be called about once a second.
   void Retry();
-  // The file was read, and records can be written unless the folder fails.
+  // Returns whether the file has been read. Records can then be written unless the folder fails.
   [[nodiscard]] bool is_available() const { return file_.is_open(); }
 
-  // The messages that are not finished and were not returned before, in the order of acceptance.
-  // Their bodies are read from the file here; one whose read fails is left for the next call. One
-  // whose record is no longer what it was is reported and returned with its client's id alone: it
-  // has no class, and its time is over. For inspection it is left out.
+  // Returns the unfinished messages that no earlier call has returned, in order of acceptance.
+  // Reads their bodies from the file; a message whose read fails is returned by a later call. A
+  // message whose record has been damaged since it was first read is reported and returned with
+  // only its client-assigned id: it has no class, and its deadline has passed. A spool that was
+  // opened for inspection omits such a message.
   [[nodiscard]] std::vector<RecoveredMessage> Recover();
 
-  // False if the message can't be stored: it must be rejected then. `number` must be new.
+  // Returns false if the message can't be stored; the caller must then reject it. `number` must be
+  // new.
   [[nodiscard]] bool Accept(SpoolId number, const SpooledMessage& message);
-  // To be called before the attempt's first byte is sent; false if it could not be stored: the
-  // attempt must not be made then.
+  // Must be called before the attempt's first byte is sent. Returns false if the record could not
+  // be stored; the attempt must then not be made.
   [[nodiscard]] bool BeginAttempt(SpoolId number, const std::string& endpoint, UnixMs at);
-  // `attempt`: index among the message's attempts. One that can't be stored counts as possibly run.
+  // `attempt` is the index among the message's attempts. If the record can't be stored before the
+  // process ends, the attempt counts as possibly run.
   void MarkNotRun(SpoolId number, std::size_t attempt);
-  // To be called before anybody is told that the message will not be delivered. One that can't be
-  // stored now is stored later: a process that ends before leaves the message as one to be tried.
-  // Harmless for an unknown message, and for one that was given up before.
+  // Must be called before any notification that the message will not be delivered. A record that
+  // can't be stored now is stored later; if the process ends before that, the next process attempts
+  // the message again. Does nothing for an unknown message or one that was already given up.
   void GiveUp(SpoolId number, const SpooledGiveUp& give_up);
-  // The message needs no further attempt or recovery. Harmless for an unknown one.
+  // The message needs no further attempt or recovery. Does nothing for an unknown message.
   void Finish(SpoolId number);
 
-  // The time for what follows, and of all times above. Real time passes between two of its values,
-  // across processes too, however the wall clock is stepped.
+  // Returns the current time on the clock of all times above. The difference between two values is
+  // elapsed real time, also between processes and when the wall clock is stepped.
   [[nodiscard]] UnixMs Now() const;
 
-  // Above all numbers in the file.
+  // Greater than all numbers in the file.
   [[nodiscard]] SpoolId next_number() const { return next_number_; }
   [[nodiscard]] std::size_t open_messages() const { return open_messages_.size(); }
   [[nodiscard]] std::size_t file_bytes() const { return file_bytes_; }
-  // Reads the folder's file anew and counts the open messages in it, but for those whose end is
-  // still to be recorded and those that Recover has not returned. None if it can't be read now.
+  // Reads the folder's file again and counts its open messages, except those whose end is still to
+  // be recorded and those that Recover has not returned. Returns nullopt if the file can't be read.
   [[nodiscard]] std::optional<std::size_t> CountStoredOpenMessages() const;
 
  private:
   struct OpenMessage {
     std::size_t offset = 0;        // of its MessageAccepted record
-    std::size_t record_bytes = 0;  // of that record, the frame included
+    std::size_t record_bytes = 0;  // of that record, including its frame
     std::string client_id;
     std::vector<SpooledAttempt> attempts;
     std::optional<SpooledGiveUp> give_up{};
-    bool attempt_may_be_lost = false;  // in a damaged place, and that is not recorded yet
-    std::string replacement;  // of that record, for the next compaction; empty: it is intact
+    bool attempt_may_be_lost = false;  // due to damage; no substitute attempt is recorded yet
+    // Replaces the MessageAccepted record in the next compaction; empty: the record is intact.
+    std::string replacement;
   };
   using Extent = spool::Extent;
-  // An outcome of an attempt that could not be recorded yet.
+  // The outcome of an attempt that could not be recorded yet.
   struct PendingNotRun {
     SpoolId number = 0;
     std::size_t attempt = 0;
@@ -117,7 +120,7 @@
 
   Spool(std::string folder, Report report);
 
-  // The records of a message behind its first one, as a compaction writes them.
+  // Encodes all records of a message except the first, as a compaction writes them.
   [[nodiscard]] static std::string EncodeProgress(SpoolId number, const OpenMessage& open);
 
   // ---- reading ----
@@ -129,7 +132,7 @@
   void NoteTornTail(const Extent& extent);
   [[nodiscard]] SpooledMessage ReplaceRecord(SpoolId number, OpenMessage& open);
 
-  // ---- what a record changes; false if it contradicts the records before it ----
+  // ---- applying records; returns false if the record contradicts earlier ones ----
   bool Apply(const spool::MessageAccepted& record, const Extent& extent);
   bool Apply(const spool::AttemptStarted& record, const Extent& extent);
   bool Apply(const spool::AttemptNotRun& record, const Extent& extent);
@@ -152,29 +155,29 @@
   [[nodiscard]] bool IsCompactionDue(std::size_t additional_bytes) const;
   bool Compact();
 
-  FolderOwner* const owner_;  // nullptr: only for inspection
+  FolderOwner* const owner_;  // nullptr: opened for inspection
   const std::string folder_;
-  const std::size_t disk_bytes_;  // 0: only for inspection
+  const std::size_t disk_bytes_;  // 0: opened for inspection
   const Report report_;
-  bool reported_ = false;  // why the spool is not in use
+  bool reported_ = false;  // the reason why the spool is unavailable has been reported
   File file_;
   std::size_t file_bytes_ = 0;      // up to the end of the last intact record
-  std::size_t stored_bytes_ = 0;    // as it was read; what is behind file_bytes_ is to be cut off
-  std::vector<Extent> damaged_;     // not kept beside the spool yet
-  bool compaction_is_due_ = false;  // to remove damaged places between the records
-  std::size_t kept_bytes_ = 0;      // of the file beside the spool
-  bool has_kept_ = false;           // that file is of this process
+  std::size_t stored_bytes_ = 0;    // file size when read; the file is truncated to file_bytes_
+  std::vector<Extent> damaged_;     // not yet saved to the separate file
+  bool compaction_is_due_ = false;  // to remove damage between records
+  std::size_t kept_bytes_ = 0;      // size of the separate file with damaged bytes
+  bool has_kept_ = false;           // this process has written that file
   bool header_is_due_ = false;
   bool anchor_is_due_ = false;
   SpoolClock clock_;
   std::optional<spool::ClockAnchor> stored_anchor_;
-  UnixMs latest_time_{};  // of any record
+  UnixMs latest_time_{};  // latest time in any record
   std::map<SpoolId, SpooledGiveUp> pending_give_ups_;
   std::set<SpoolId> pending_ends_;
   std::vector<PendingNotRun> pending_not_run_;
-  std::set<SpoolId> unrecovered_;          // not returned by Recover yet
-  std::size_t compacted_bytes_ = 0;        // of the file if it were compacted now
-  std::size_t next_compaction_bytes_ = 0;  // after a failed one: not before the file is this large
+  std::set<SpoolId> unrecovered_;          // not yet returned by Recover
+  std::size_t compacted_bytes_ = 0;        // size of the file if it were compacted now
+  std::size_t next_compaction_bytes_ = 0;  // no compaction before the file reaches this size
   SpoolId next_number_ = 1;
   std::map<SpoolId, OpenMessage> open_messages_;
 };
--- a/src/spool/spool_clock.hpp
+++ b/src/spool/spool_clock.hpp
@@ -1,8 +1,8 @@
-// The clock of the times in a spool. They are written as Unix times and survive the process, but
-// the wall clock may be stepped at any moment, so they are not read from it: an anchor in the file
-// says which moment of this machine's monotonic clock one Unix time stood for, and all others
-// follow from that. Only where the machine has been started anew does the wall clock tell how much
-// time has passed. No I/O.
+// The clock of the times in a spool. Times are stored as Unix times and outlive the process, but
+// the wall clock may be stepped at any moment, so they are not read from it. Instead an anchor in
+// the file maps one reading of this machine's monotonic clock to a Unix time, and all other times
+// are computed from it. The wall clock is only used after a reboot, to estimate how much time has
+// passed. SpoolClock does no I/O.
 #ifndef BRASSFRONT_SPOOL_SPOOL_CLOCK_HPP_
 #define BRASSFRONT_SPOOL_SPOOL_CLOCK_HPP_
 
@@ -14,27 +14,27 @@
 
 namespace brassfront {
 
-// What the machine's clocks say at one moment.
+// The readings of the machine's clocks at one moment.
 struct MachineTime {
-  std::string boot_id;  // of this start of the machine; empty: unknown
+  std::string boot_id;  // identifies this boot of the machine; empty: unknown
   std::chrono::milliseconds monotonic{};
   UnixMs wall{};
 };
 
-// Reads the clocks. A boot id that can't be read is unknown.
+// Reads the clocks and the boot id, which is empty if it can't be read.
 [[nodiscard]] MachineTime ReadMachineTime();
 
 class SpoolClock {
  public:
-  // Follows the anchor if it is of this start of the machine: then nothing has to be written and
-  // false is returned. Otherwise begins a new anchor, no earlier than `latest`, the latest time in
-  // the file; it is to be written.
+  // Uses the stored anchor if it belongs to this boot of the machine; nothing has to be written,
+  // and the result is false. Otherwise creates a new anchor, which must be written to the file, and
+  // returns true. Its time is not before `latest`, the latest time in the file.
   bool Begin(const std::optional<spool::ClockAnchor>& stored, UnixMs latest,
              const MachineTime& now);
 
-  // To be called after Begin.
+  // Must be called after Begin.
   [[nodiscard]] const spool::ClockAnchor& anchor() const { return anchor_; }
-  // The time at a moment of the monotonic clock.
+  // Converts a reading of the monotonic clock.
   [[nodiscard]] UnixMs TimeAt(std::chrono::milliseconds monotonic) const {
     return anchor_.wall + (monotonic - anchor_.monotonic);
   }
--- a/src/spool/spool_reader.cpp
+++ b/src/spool/spool_reader.cpp
@@ -8,9 +8,9 @@
 namespace brassfront::spool {
 namespace {
 
-// Read at once while looking for the next record.
+// Bytes per read while searching for the next record.
 constexpr std::size_t kSearchBlockBytes = std::size_t{64} * 1024;
-// A frame and the first byte of its payload, which is the least that tells a record from others.
+// A frame and the first byte of its payload: the minimum for MayBeginPayload.
 constexpr std::size_t kProbeBytes = kFrameBytes + 1;
 
 }  // namespace
@@ -46,9 +46,9 @@
   return {.outcome = torn ? Outcome::kTornTail : Outcome::kDamage, .extent = lost};
 }
 
-// The offset of the first intact record behind the damaged one at next_; none if there is none or a
-// read failed. The damaged record's own length is tried first: what a message's body holds then is
-// not looked at.
+// Returns the offset of the first intact record after the damaged one at next_, or nullopt if there
+// is none or a read failed. Tries the length in the damaged record's frame first, so that the
+// contents of a message's body are not searched for records.
 std::optional<std::size_t> Reader::FindNextRecord() {
   const auto is_record = [&](std::size_t offset) {
     const Probe probe = ProbeAt(offset);
@@ -77,7 +77,7 @@
   return std::nullopt;
 }
 
-// None if there are not so many bytes, or the read failed.
+// Returns nullopt if too few bytes are left or the read failed.
 std::optional<FrameHeader> Reader::ReadFrame(std::size_t offset) const {
   if (offset + kFrameBytes > end_) return std::nullopt;
   const auto frame = file_.Read(offset, kFrameBytes);
@@ -85,8 +85,8 @@
   return DecodeFrameHeader(*frame);
 }
 
-// Whether what lies at next_, which is the end of the file, is the begin of a record. One that is
-// whole but for a damaged length is none: its payload still has its checksum.
+// Returns whether the bytes from next_ to the end of the file are an incompletely written record. A
+// complete record whose length field is damaged is not: its payload still matches its checksum.
 bool Reader::IsTorn() {
   const std::size_t left = end_ - next_;
   if (left < kFrameBytes) return true;
--- a/src/spool/spool_reader.hpp
+++ b/src/spool/spool_reader.hpp
@@ -1,5 +1,5 @@
-// Reads the records of a spool's file one after another. Where one is damaged, reading goes on at
-// the next intact one, and what lies between is returned as a place of its own.
+// Reads the records of a spool file sequentially. After a damaged record, reading continues at the
+// next intact record, and the bytes in between are returned as a damaged extent.
 #ifndef BRASSFRONT_SPOOL_SPOOL_READER_HPP_
 #define BRASSFRONT_SPOOL_SPOOL_READER_HPP_
 
@@ -12,7 +12,7 @@
 
 namespace brassfront::spool {
 
-// A place in the file; of a record the frame is included.
+// A range of bytes in the file. The extent of a record includes its frame.
 struct Extent {
   std::size_t offset = 0;
   std::size_t bytes = 0;
@@ -24,26 +24,26 @@
  public:
   enum class Outcome {
     kRecord,
-    kDamage,    // bytes that are no record; records may have been lost in them
-    kTornTail,  // the file ends within its last record: that one was never completely written
+    kDamage,    // bytes that are not a valid record; they may contain lost records
+    kTornTail,  // the file ends within its last record, which was never completely written
     kEnd,
-    kFailed  // a read failed, errno tells why; nothing is known of what follows
+    kFailed  // a read failed and set errno; the rest of the file is unknown
   };
   struct Item {
     Outcome outcome = Outcome::kEnd;
     Extent extent{};
-    Record record{};  // of kRecord
+    Record record{};  // valid for kRecord
   };
 
-  // Reads from `begin` to `end`. The file outlives the reader.
+  // Reads from offset `begin` to offset `end`. The file must outlive the reader.
   Reader(const File& file, std::size_t begin, std::size_t end)
       : file_(file), next_(begin), end_(end) {}
 
-  // After kEnd and kFailed it is not to be called again.
+  // Must not be called again after kEnd or kFailed.
   [[nodiscard]] Item Next();
 
  private:
-  // Of looking for a record at an offset.
+  // The result of trying to read a record at an offset.
   struct Probe {
     bool failed = false;  // a read failed
     std::optional<Record> record{};
--- a/src/spool/spool_record.cpp
+++ b/src/spool/spool_record.cpp
@@ -8,7 +8,7 @@
 namespace brassfront::spool {
 namespace {
 
-// Stored in files: never change one.
+// The values are stored in files and must never change.
 enum class Tag : char {
   kMessageAccepted = 'A',
   kAttemptStarted = 'B',
@@ -17,8 +17,8 @@
   kClockAnchor = 'C',
 };
 
-// A give-up is stored as the outcome of an attempt that no message has: earlier versions pass over
-// such an outcome. These bits of the attempt's index hold what was decided.
+// A give-up is stored as an AttemptNotRun record with an attempt index that no message has, because
+// earlier versions ignore such a record. These bits of the index encode the decision.
 constexpr std::uint64_t kGiveUpMark = std::uint64_t{1} << 63;
 constexpr std::uint64_t kRetryAllowedMark = std::uint64_t{1} << 62;
 constexpr std::uint64_t kRetryAfterMask = 0xFFFF'FFFF;  // in milliseconds
@@ -49,7 +49,7 @@
     payload_.append(text);
     return *this;
   }
-  // The frame and the payload.
+  // Returns the frame followed by the payload.
   [[nodiscard]] std::string Framed() const {
     std::string record;
     AppendNumber(record, payload_.size(), kLengthBytes);
@@ -61,7 +61,7 @@
   std::string payload_;
 };
 
-// Reading past the end yields zeros and empty texts; AtEnd() is false from then on.
+// Reading past the end returns zeros and empty texts; AtEnd() is false after that.
 class PayloadReader {
  public:
   explicit PayloadReader(std::string_view bytes) : rest_(bytes) {}
@@ -76,7 +76,7 @@
   }
   UnixMs Time() { return UnixMs(static_cast<std::int64_t>(Number())); }
   std::string Text() { return std::string(Next(Number(kLengthBytes))); }
-  // True if all was read, and nothing past it.
+  // Returns whether all bytes were read and no read went past the end.
   [[nodiscard]] bool AtEnd() const { return !overrun_ && rest_.empty(); }
 
  private:
--- a/src/spool/spool_record.hpp
+++ b/src/spool/spool_record.hpp
@@ -1,9 +1,9 @@
-// The codec of the spool's records, and the only place that knows their stored form.
+// The codec of the spool's records; their stored format is defined only here.
 //
 // A stored record is a frame (the payload's length and its CRC-32, 4 bytes each) and the payload: a
-// tag of one byte and the fields of that kind of record. Numbers are stored low byte first, texts
-// behind their length in 4 bytes. Files of earlier versions must stay readable: tags and fields may
-// be added, never changed. No I/O.
+// one-byte tag and the fields of that kind of record. Numbers are little-endian; a text follows its
+// 4-byte length. Files of earlier versions must stay readable: tags and fields may be added, never
+// changed. No I/O.
 #ifndef BRASSFRONT_SPOOL_SPOOL_RECORD_HPP_
 #define BRASSFRONT_SPOOL_SPOOL_RECORD_HPP_
 
@@ -18,11 +18,11 @@
 namespace brassfront {
 
 using UnixMs = std::chrono::milliseconds;  // since 1970
-using SpoolId = std::uint64_t;             // of a message; not reused in the file's life
+using SpoolId = std::uint64_t;             // number of a message, never reused in the same file
 
 // A message as it was accepted.
 struct SpooledMessage {
-  std::string id;  // the client's
+  std::string id;  // assigned by the client
   std::string key;
   std::string class_name;
   std::string tenant_name;
@@ -31,15 +31,15 @@
   std::string body;
 };
 
-// The decision that a message will not be delivered, as the platform is told it.
+// The decision that a message will not be delivered, as reported to the platform.
 struct SpooledGiveUp {
-  bool retry_allowed = false;               // the client may hand it in again; else undeliverable
+  bool retry_allowed = false;  // true: the client may submit it again; false: undeliverable
   std::chrono::milliseconds retry_after{};  // if a retry is allowed; up to 49 days are stored
 };
 
 namespace spool {
 
-// The first bytes of a file.
+// The first bytes of a spool file.
 inline constexpr std::string_view kFileHeader = "BRSPOOL1";
 
 // ---- the kinds of records ----
@@ -56,13 +56,13 @@
   UnixMs started_at{};
 };
 
-// The attempt is known not to have run at the endpoint.
+// The endpoint is known not to have executed the attempt.
 struct AttemptNotRun {
   SpoolId number = 0;
   std::size_t attempt = 0;  // index among the message's AttemptStarted records
 };
 
-// Written before the platform is told: no further attempt is made.
+// Written before the platform is notified. No further attempt is made after this record.
 struct MessageGivenUp {
   SpoolId number = 0;
   SpooledGiveUp give_up;
@@ -73,12 +73,12 @@
   SpoolId number = 0;
 };
 
-// From here on, and for all records before: times count by the machine's monotonic clock from this
-// moment (spool_clock.hpp).
+// Maps a reading of the machine's monotonic clock to a Unix time. All times in the file, before and
+// after this record, are relative to it (spool_clock.hpp).
 struct ClockAnchor {
-  std::string boot_id;                    // of the machine's start
-  std::chrono::milliseconds monotonic{};  // the moment
-  UnixMs wall{};                          // the time that it stands for
+  std::string boot_id;                    // the boot of the machine in which the anchor is valid
+  std::chrono::milliseconds monotonic{};  // the reading of the monotonic clock
+  UnixMs wall{};                          // the Unix time at that reading
 };
 
 using Record = std::variant<MessageAccepted, AttemptStarted, AttemptNotRun, MessageGivenUp,
@@ -86,7 +86,7 @@
 
 // ---- encoding ----
 
-// The stored record, its frame included.
+// Returns the stored record, including its frame.
 std::string Encode(const MessageAccepted& record);
 std::string Encode(const AttemptStarted& record);
 std::string Encode(const AttemptNotRun& record);
@@ -97,7 +97,7 @@
 // ---- decoding ----
 
 inline constexpr std::size_t kFrameBytes = 8;
-// A stored length above this is taken for damage, before anything is read for it.
+// A greater stored length is treated as damage, before any payload is read.
 inline constexpr std::size_t kMaxPayloadBytes = 1 << 20;
 
 struct FrameHeader {
@@ -105,17 +105,18 @@
   std::uint32_t checksum = 0;
 };
 
-// From kFrameBytes bytes. The length may be damaged: compare it with kMaxPayloadBytes and the file.
+// Decodes kFrameBytes bytes. The length may be damaged: the caller must check it against
+// kMaxPayloadBytes and the end of the file.
 [[nodiscard]] FrameHeader DecodeFrameHeader(std::string_view bytes);
 
-// Whether a payload of the frame's length may begin with this byte: a cheap test before a frame
-// that was met by chance is read.
+// Returns whether a payload of the frame's length may begin with this byte: a cheap check before
+// the payload of a possible frame is read while searching for records.
 [[nodiscard]] bool MayBeginPayload(const FrameHeader& header, char first);
 
-// True if the payload has the length and the checksum that its frame says.
+// Returns whether the payload has the length and the checksum in its frame.
 [[nodiscard]] bool IsIntact(const FrameHeader& header, std::string_view payload);
 
-// Nothing if the tag is unknown or the fields are not exactly the kind's.
+// Returns nullopt if the tag is unknown or the payload does not consist of exactly its fields.
 [[nodiscard]] std::optional<Record> DecodePayload(std::string_view payload);
 
 }  // namespace spool
--- a/src/system/error_class.cpp
+++ b/src/system/error_class.cpp
@@ -5,7 +5,7 @@
 namespace brassfront {
 namespace {
 
-// The machine has run out of something, or the call was interrupted.
+// A resource of the machine is exhausted, or the call was interrupted.
 bool IsShortage(int error) {
   switch (error) {
     case EINTR:
@@ -20,7 +20,7 @@
   }
 }
 
-// The network is not there, here or on the way.
+// The local network or a part of the route to the peer is unavailable.
 bool IsNetworkDown(int error) {
   return error == ENETDOWN || error == ENETUNREACH || error == EHOSTUNREACH || error == EHOSTDOWN ||
          error == ENONET;
@@ -28,7 +28,7 @@
 
 ErrorClass ClassifyAccept(int error) {
   if (IsShortage(error)) return ErrorClass::kTransient;
-  // Linux passes on errors of the connection that was about to be accepted.
+  // accept(2) on Linux also returns pending errors of the new connection.
   const bool of_connection = IsNetworkDown(error) || error == ECONNABORTED || error == EPROTO ||
                              error == ENOPROTOOPT || error == EOPNOTSUPP || error == EPERM ||
                              error == ETIMEDOUT || error == ECONNRESET;
@@ -41,7 +41,7 @@
 }
 
 ErrorClass ClassifyConnect(int error) {
-  // Here EAGAIN and EADDRNOTAVAIL mean that all local ports are taken.
+  // For connect(2), EAGAIN and EADDRNOTAVAIL mean that all local ports are in use.
   const bool local = (IsShortage(error) && error != EAGAIN) || error == EADDRNOTAVAIL ||
                      error == EADDRINUSE || error == ENETUNREACH || error == ENETDOWN;
   return local ? ErrorClass::kTransient : ErrorClass::kPeer;
--- a/src/system/error_class.hpp
+++ b/src/system/error_class.hpp
@@ -1,4 +1,4 @@
-// What a failed system call says: the one place that knows it for each call and errno.
+// Classifies failures of system calls by call and errno. All such classifications are made here.
 //
 // Sources: the ERRORS sections of the Linux manual pages accept(2), bind(2), connect(2),
 // epoll_ctl(2), poll(2), pthread_create(3), recv(2), send(2) and socket(2). No I/O.
@@ -7,7 +7,7 @@
 
 namespace brassfront {
 
-// The calls that are told apart.
+// The calls with different classifications.
 enum class SystemCall {
   kAccept,
   kBind,  // and listen
@@ -21,9 +21,9 @@
 };
 
 enum class ErrorClass {
-  kTransient,  // a condition of this machine that may pass: try again after a pause
-  kPeer,       // of this connection or its peer alone: end that one
-  kFatal,      // it will be so the next time: say so and give up
+  kTransient,  // a temporary condition of this machine: retry after a pause
+  kPeer,       // concerns only this connection or its peer: close the connection
+  kFatal,      // a retry would fail as well: report the error and give up
 };
 
 [[nodiscard]] ErrorClass Classify(SystemCall call, int error);
--- a/src/system/file_lock.cpp
+++ b/src/system/file_lock.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr mode_t kOwnerOnly = 0600;
-// A call that is interrupted each time fails in the end, like any other.
+// Maximum interrupted calls; after that the lock attempt fails with EINTR.
 constexpr int kMaxInterruptions = 100;
 
 FileLock::Outcome OutcomeOf(int error) {
--- a/src/system/file_lock.hpp
+++ b/src/system/file_lock.hpp
@@ -1,6 +1,7 @@
-// A lock on a file that the kernel drops at any death of its holder (flock(2)).
+// An exclusive lock on a file (flock(2)), which the kernel releases however the holder ends.
 //
-// The file is never renamed or removed, or two processes could hold locks on two files of one name.
+// The file must never be renamed or removed; otherwise two processes could lock two different files
+// with the same name.
 #ifndef BRASSFRONT_SYSTEM_FILE_LOCK_HPP_
 #define BRASSFRONT_SYSTEM_FILE_LOCK_HPP_
 
@@ -13,9 +14,9 @@
  public:
   enum class Outcome {
     kAcquired,
-    kHeldByOther,  // by another process, or another object of this one
-    kUnsupported,  // there are no locks on this file system
-    kFailed        // errno tells why
+    kHeldByOther,  // held by another process, or by another FileLock of this process
+    kUnsupported,  // the file system does not support locks
+    kFailed        // errno is set
   };
 
   FileLock() = default;
@@ -26,11 +27,12 @@
     return *this;
   }
 
-  // Tries once, without waiting; the file is made if absent. Harmless where the lock is held.
+  // Tries once, without waiting. Creates the file if it does not exist. Does nothing if this object
+  // already holds the lock.
   Outcome TryLock(const std::string& path);
 
   [[nodiscard]] bool is_held() const { return fd_ >= 0; }
-  // Of the file, while the lock is held.
+  // The descriptor of the file while the lock is held, otherwise -1.
   [[nodiscard]] int fd() const { return fd_; }
 
  private:
--- a/src/system/retry.hpp
+++ b/src/system/retry.hpp
@@ -1,4 +1,4 @@
-// Waiting out transient failures of system calls.
+// Retries after transient failures of system calls.
 #ifndef BRASSFRONT_SYSTEM_RETRY_HPP_
 #define BRASSFRONT_SYSTEM_RETRY_HPP_
 
@@ -9,25 +9,27 @@
 
 namespace brassfront {
 
-// A start has to be over 10 s after the process began; what fails at a start is tried again up to
-// this age of the process, by all of its parts together, and then ends it.
+// Startup must complete within 10 s of the start of the process. Operations that fail during
+// startup are retried until this time after its begin, which all of them share; after that the
+// process ends.
 inline constexpr std::chrono::seconds kStartupRetryLimit{8};
 
-// The pause before a call that failed by a transient error is made again.
+// The pause before a retry after a transient error.
 inline constexpr std::chrono::milliseconds kTransientPause{10};
 
-// Blocks the calling thread; an interruption does not shorten it.
+// Blocks the calling thread for the whole time, even if a signal interrupts it.
 void Pause(std::chrono::milliseconds time);
 
-// A start begins now; without it, one begins with the first call of StartupDeadline.
+// Starts the time limit of startup now. If it is not called, the first call of StartupDeadline
+// starts it.
 void BeginStartup();
 
-// When a start has to be over.
+// Returns the time at which startup must be complete.
 [[nodiscard]] std::chrono::steady_clock::time_point StartupDeadline();
 
-// For the parts of a start: calls `attempt` until it returns true, fails by an error that is not
-// transient for this call, or the start has to be over. False if it failed; errno is that of the
-// last attempt.
+// For use during startup: calls `attempt` until it returns true, fails with an error that is not
+// transient for `call`, or the startup deadline has passed. Returns false on failure, with the
+// errno of the last attempt.
 template <typename Attempt>
 [[nodiscard]] bool RetryAtStart(SystemCall call, Attempt attempt) {
   while (!attempt()) {
--- a/src/system/standard_descriptors.cpp
+++ b/src/system/standard_descriptors.cpp
@@ -10,7 +10,7 @@
 
 void OpenStandardDescriptors() {
   for (const int descriptor : {STDIN_FILENO, STDOUT_FILENO, STDERR_FILENO}) {
-    // open(2) returns the lowest number that is free: this one.
+    // open(2) returns the lowest free descriptor, which is this one.
     if (fcntl(descriptor, F_GETFD) < 0) static_cast<void>(open("/dev/null", O_RDWR));
   }
 }
--- a/src/system/standard_descriptors.hpp
+++ b/src/system/standard_descriptors.hpp
@@ -1,15 +1,15 @@
-// Makes a process independent of who started it and of who reads its output.
+// Makes a process independent of its inherited descriptors and of the reader of its output.
 #ifndef BRASSFRONT_SYSTEM_STANDARD_DESCRIPTORS_HPP_
 #define BRASSFRONT_SYSTEM_STANDARD_DESCRIPTORS_HPP_
 
 namespace brassfront {
 
-// Opens those of the descriptors 0 to 2 that are closed on /dev/null. Otherwise a file or a socket
-// would get the number, and with it the lines of the log. To be called first in main.
+// Opens /dev/null on each of the descriptors 0 to 2 that is closed. Otherwise a file or socket
+// could get such a descriptor, and log lines would be written to it. Must be called first in main.
 void OpenStandardDescriptors();
 
-// From now on a write to a pipe or socket without a reader, and one beyond a limit on file sizes,
-// fails with an errno in place of a signal that ends the process.
+// Ignores SIGPIPE and SIGXFSZ: a write to a pipe or socket without a reader, or beyond a limit on
+// file sizes, then fails with an errno instead of ending the process.
 void IgnoreWriteSignals();
 
 }  // namespace brassfront
