--- a/src/cli/check_records.cpp
+++ b/src/cli/check_records.cpp
@@ -1,4 +1,4 @@
-// `brassfront check-records`: reads an operator file and says all that is wrong with it.
+// `brassfront check-records`: checks an operator file and reports its errors.
 #include <cxxopts.hpp>
 #include <iostream>
 #include <optional>
@@ -10,12 +10,12 @@
 
 int CheckRecordsCommand(int argc, char** argv) {
   cxxopts::Options options("brassfront check-records",
-                           "Reads typed records and says all that is wrong with them");
+                           "Checks a file of typed records and reports its errors");
   options.add_options()("file", "the file", cxxopts::value<std::string>())(
-      "schema", "a file of definitions that it is held against", cxxopts::value<std::string>())(
-      "definition", "the schema's definition that the whole file must meet",
+      "schema", "a schema file to validate against", cxxopts::value<std::string>())(
+      "definition", "the schema definition that the file must satisfy",
       cxxopts::value<std::string>()->default_value("#File"))(
-      "json", "print what the file comes to, with defaults, as JSON");
+      "json", "print the resulting record as JSON, including defaults");
   options.parse_positional({"file"});
   options.positional_help("FILE");
   const std::optional<cxxopts::ParseResult> parsed = ParseOptions(options, argc, argv);
--- a/src/cli/command.hpp
+++ b/src/cli/command.hpp
@@ -1,5 +1,5 @@
-// The sub-commands: each has a file of its own, which reads its options and calls what does the
-// work.
+// The sub-commands. Each is implemented in its own file, which parses the options and calls the
+// library code.
 #ifndef BRASSFRONT_CLI_COMMAND_HPP_
 #define BRASSFRONT_CLI_COMMAND_HPP_
 
@@ -14,7 +14,7 @@
 
 namespace brassfront {
 
-// The command line was not understood: exit status 2, with the command's usage.
+// The command line is invalid. main prints the error and exits with status 2.
 class UsageError : public std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -22,7 +22,8 @@
 struct Command {
   const char* name;
   const char* summary;
-  // Given its own name and what follows it. Returns the exit status; throws what main reports.
+  // argv has the command's name and its arguments. Returns the exit status. main reports
+  // exceptions.
   int (*run)(int argc, char** argv);
 };
 
@@ -30,14 +31,15 @@
 int CheckConfigCommand(int argc, char** argv);
 int SpoolCommand(int argc, char** argv);
 int CheckRecordsCommand(int argc, char** argv);
-int RehearseCommand(int argc, char** argv);  // with the kit
-int ZoneCommand(int argc, char** argv);      // with zones
-int FleetCommand(int argc, char** argv);     // with the fleet
+int RehearseCommand(int argc, char** argv);  // built with BRASSFRONT_KIT
+int ZoneCommand(int argc, char** argv);      // built with BRASSFRONT_ZONES
+int FleetCommand(int argc, char** argv);     // built with BRASSFRONT_FLEET
 
-// The variable's value; empty if it is not set.
+// Returns the value of an environment variable; empty if it is not set.
 [[nodiscard]] std::string Environment(const char* name);
 
-// Adds --help and parses. Nothing if help was asked for, and printed. Throws UsageError.
+// Adds --help and parses the command line. Returns nullopt if it printed the help text. Throws
+// UsageError.
 [[nodiscard]] std::optional<cxxopts::ParseResult> ParseOptions(cxxopts::Options& options, int argc,
                                                                char** argv);
 
--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -1,4 +1,5 @@
-// `brassfront fleet`: asks a forwarder on this machine, by the socket in its state folder.
+// `brassfront fleet`: sends requests to a forwarder on this machine through the socket in its state
+// folder.
 #include <array>
 #include <cmath>
 #include <cstdio>
@@ -18,27 +19,27 @@
 namespace brassfront {
 namespace {
 
-// The exit statuses that the page names.
+// The documented exit statuses.
 constexpr int kExitDone = 0;
 constexpr int kExitRefused = 1;
 constexpr int kExitBadInput = 2;
 constexpr int kExitNoQuorum = 3;
 
 constexpr const char* kHelp =
-    "brassfront fleet status                          this forwarder's view, in short\n"
+    "brassfront fleet status                          summary of this forwarder's view\n"
     "brassfront fleet members                         each member, its state and its link\n"
-    "brassfront fleet check FILE                      say all that is wrong with a roster\n"
-    "brassfront fleet bounds FILE                     what its shares and words promise\n"
-    "brassfront fleet limits                          our shares of limits, and who holds how "
-    "much\n"
-    "brassfront fleet verdicts                        who says what of which endpoint\n"
-    "brassfront fleet maintenance list                who is out, and who waits for whom\n"
-    "brassfront fleet maintenance ask NAME            a machine, hall:NAME or all\n"
-    "brassfront fleet maintenance ask ID --endpoint   an endpoint\n"
-    "brassfront fleet maintenance back NAME           bring back (--endpoint; all)\n"
-    "brassfront fleet maintenance cancel REQUEST      by its number\n"
-    "brassfront fleet maintenance hold yes|no         no further turn comes\n"
-    "brassfront fleet maintenance ended NAME          you know that its process has ended\n";
+    "brassfront fleet check FILE                      check a roster and report its errors\n"
+    "brassfront fleet bounds FILE                     the bounds that its `sharing` guarantees\n"
+    "brassfront fleet limits                          this forwarder's shares of limits, and the "
+    "leases\n"
+    "brassfront fleet verdicts                        each member's reports on endpoints\n"
+    "brassfront fleet maintenance list                what is in maintenance, and what waits\n"
+    "brassfront fleet maintenance ask NAME            request it for a machine, hall:NAME or all\n"
+    "brassfront fleet maintenance ask ID --endpoint   request it for an endpoint\n"
+    "brassfront fleet maintenance back NAME           end it (--endpoint; all)\n"
+    "brassfront fleet maintenance cancel REQUEST      cancel a request by its number\n"
+    "brassfront fleet maintenance hold yes|no         pause or resume grants\n"
+    "brassfront fleet maintenance ended NAME          state that a member's process has ended\n";
 
 std::string PercentEncode(const std::string& text) {
   constexpr const char* kDigits = "0123456789ABCDEF";
@@ -74,7 +75,7 @@
   return "";
 }
 
-// Lists a row a line, the rest on one.
+// Prints each row of a list on its own line, and all other fields together on the last line.
 void PrintReply(const std::string& body) {
   const json::Value value = json::Parse(body);
   std::string rest;
@@ -98,14 +99,14 @@
   const peers::Roster roster = peers::LoadRoster(path);
   std::cout << path << ": good; fleet " << roster.fleet << ", " << roster.members.size()
             << " members, " << roster.Voters().size() << " voters, " << roster.max_out_total
-            << " out at once, " << roster.max_out_per_zone << " in a hall\n";
+            << " out at once, " << roster.max_out_per_zone << " per hall\n";
   return kExitDone;
 }
 
 int PrintBounds(const std::string& path, bool json) {
   const peers::Roster roster = peers::LoadRoster(path);
   if (!roster.sharing.limits && !roster.sharing.verdicts) {
-    std::cerr << path << ": has no `sharing`, so nothing is promised\n";
+    std::cerr << path << ": has no `sharing`, so there are no bounds\n";
     return kExitRefused;
   }
   const auto format = json ? fleet::BoundsFormat::kJson : fleet::BoundsFormat::kText;
@@ -113,7 +114,7 @@
   return kExitDone;
 }
 
-// `check` and `bounds`, which read a roster and ask no forwarder.
+// Runs `check` and `bounds`, which read a roster and contact no forwarder.
 int RunOnRoster(const std::string& subcommand, const std::vector<std::string>& words, bool json) {
   if (words.size() != 2) throw UsageError(subcommand + " needs a file");
   try {
@@ -138,7 +139,8 @@
                                                      : kExitRefused;
 }
 
-// The control request of a `maintenance` sub-command, which the first word is.
+// Returns the target of the control request for a `maintenance` sub-command, which is the first
+// word.
 std::string MaintenanceTarget(const std::vector<std::string>& words,
                               const cxxopts::ParseResult& given) {
   const std::string& verb = words[0];
@@ -146,7 +148,7 @@
   if (!named && verb != "cancel" && verb != "hold") {
     throw UsageError("no such thing to do: maintenance " + verb);
   }
-  if (words.size() != 2) throw UsageError("maintenance " + verb + " needs one word more");
+  if (words.size() != 2) throw UsageError("maintenance " + verb + " needs one argument");
   const std::string parameter = named ? "name" : verb == "cancel" ? "request" : "on";
   std::string target =
       "/fleet/maintenance/" + verb + "?" + parameter + "=" + PercentEncode(words[1]);
@@ -161,15 +163,16 @@
 }  // namespace
 
 int FleetCommand(int argc, char** argv) {
-  cxxopts::Options options("brassfront fleet", "Asks a forwarder of its fleet");
-  options.add_options()("words", "what to do",
+  cxxopts::Options options("brassfront fleet",
+                           "Shows a forwarder's view of its fleet, and schedules maintenance");
+  options.add_options()("words", "the command and its arguments",
                         cxxopts::value<std::vector<std::string>>()->default_value(""))(
       "state", "the forwarder's state folder [$NODE_STATE]",
       cxxopts::value<std::string>()->default_value(Environment("NODE_STATE")))(
-      "endpoint", "the name is an endpoint's")("urgency", "low, normal or high",
-                                               cxxopts::value<std::string>()->default_value(""))(
-      "token", "a number of yours: the same asked again is done once",
-      cxxopts::value<std::uint64_t>()->default_value("0"))("json", "the answer as it comes");
+      "endpoint", "the name is that of an endpoint")(
+      "urgency", "low, normal or high", cxxopts::value<std::string>()->default_value(""))(
+      "token", "a number that you choose: requests with the same token run once",
+      cxxopts::value<std::uint64_t>()->default_value("0"))("json", "print the reply as JSON");
   options.parse_positional({"words"});
   options.positional_help("status|members|limits|verdicts|check FILE|bounds FILE|maintenance ...");
   const std::optional<cxxopts::ParseResult> parsed = ParseOptions(options, argc, argv);
--- a/src/cli/forwarder_service.cpp
+++ b/src/cli/forwarder_service.cpp
@@ -19,20 +19,22 @@
 
 constexpr const char* kReloadableKey = "discovery";
 constexpr std::size_t kMaxClientConnections = 384;
-// A connection costs a command of 68 KiB at the most and what is kept of it, and some have a thread
-// for the moment. All of them get half of the memory, beside the quarter for bodies.
+// A connection needs memory for a command of up to 68 KiB and the data kept from it, and some
+// connections temporarily have a thread. All client connections together may use half of the
+// memory limit; message bodies use another quarter.
 constexpr std::size_t kBytesPerClientConnection = std::size_t{96} * 1024;
-// Descriptors for the standard streams, the spool, the listener and the platform, and some spare.
+// Descriptors for the standard streams, the spool, the listener and the platform, with some spare.
 constexpr std::size_t kReservedDescriptors = 24;
-// Clients get at least one descriptor in so many.
+// Clients get at least a quarter of the descriptors.
 constexpr std::size_t kMinClientDescriptorShare = 4;
-// Idle clients keep at most one descriptor in so many; clients use a third at most.
+// Idle clients keep at most a sixth of the descriptors; clients use a third at most.
 constexpr std::size_t kIdleClientDescriptorShare = 6;
 
-// Secondary zones have this long to be confirmed at the start, before their stored copies are used.
+// Time limit for confirming secondary zones at the start; after it their stored copies are used.
 constexpr std::chrono::milliseconds kZoneConfirmationTimeout{500};
 
-// What the descriptors leave once every delivery is out, within the memory.
+// Returns the number of client connections for which descriptors are left when all endpoint
+// connections are open, limited by memory.
 std::size_t MaxClientConnections(const Config& config) {
   const std::size_t all = config.limits.sockets;
   const std::size_t operators = config.admin.empty() ? 0 : OperatorServer::kMaxDescriptors;
@@ -44,7 +46,7 @@
   return std::max<std::size_t>(1, std::min({kMaxClientConnections, left, in_memory}));
 }
 
-// With commas between them.
+// Joins the words with commas.
 std::string Join(const std::vector<std::string>& words) {
   std::string text;
   for (const std::string& word : words) {
@@ -54,7 +56,8 @@
   return text;
 }
 
-// Of a reload: the keys that hold from now on, and those that hold from the next start on.
+// Logs the keys that a reload has changed: those that apply now, and those that apply at the next
+// start.
 void LogReload(const Config& before, const Config& after) {
   std::vector<std::string> later;
   std::vector<std::string> now;
@@ -66,7 +69,7 @@
       {{"discovery", after.discovery}, {"taken_up", Join(now)}, {"at_next_start", Join(later)}});
 }
 
-// What the other files in the state folder leave to the spool.
+// Returns the disk space that the other files in the state folder leave for the spool.
 std::size_t SpoolBytes(const Config& config) {
   const std::size_t exclusions = config.admin.empty() ? 0 : ExclusionFile::kMaxBytesOnDisk;
   const std::size_t others = exclusions + FolderOwner::kMaxBytesOnDisk +
@@ -141,7 +144,8 @@
   return exclusions_.Apply(std::move(list));
 }
 
-// Who gets the platform's lists instead of the engine; nobody without sources and a fleet.
+// Returns the function that receives the platform's endpoint lists instead of the engine. It is
+// empty without sources, a fleet and an operators' address.
 DiscoveryWatcher::OnEndpointList ForwarderService::ListInterceptor() {
   if (sources_) {
     return [this](const MemberList& list) { sources_->ApplyPlatformList(list); };
@@ -186,7 +190,7 @@
 
 void ForwarderService::StartOperatorServer() {
   if (!operator_commands_) return;
-  // With the weight of two witnesses: operators' word is binding.
+  // A report of two witnesses is binding, as an operator's command must be.
   constexpr std::size_t kWitnesses = 2;
   operator_commands_->Attach(
       {.serves = [this] { return !shutting_down_; },
--- a/src/cli/forwarder_service.hpp
+++ b/src/cli/forwarder_service.hpp
@@ -1,5 +1,5 @@
-// A forwarder as `brassfront serve` runs it: the spool, the engine and the client server, with
-// further sources of endpoints and the fleet if they are asked for, wired to each other.
+// The forwarder that `brassfront serve` runs. Creates and connects the spool, the engine and the
+// client server, and, if configured, further sources of endpoints and the fleet.
 #ifndef BRASSFRONT_CLI_FORWARDER_SERVICE_HPP_
 #define BRASSFRONT_CLI_FORWARDER_SERVICE_HPP_
 
@@ -23,7 +23,7 @@
 
 namespace brassfront {
 
-// The forwarder cannot serve here and now, though its files are good.
+// The forwarder can't serve now, although its files are valid.
 class UnavailableError : public std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -36,32 +36,32 @@
 
 class ForwarderService {
  public:
-  // Reads the configuration, and waits out a file that can't be read for a moment.
+  // Reads the configuration. Retries until the startup deadline if the file can't be read.
   [[nodiscard]] static Config ReadConfigAtStart(const std::string& path);
 
-  // Reads the other files, recovers the spool, and takes clients from then on. `owner`, which
-  // outlives this, owns the state folder, or will once the folder is well. The signals that end the
-  // process must be blocked before, since this starts threads. Throws what the files' readers
-  // throw, and std::runtime_error.
+  // Reads the other files, recovers the spool and starts to accept clients. `owner` must outlive
+  // this object; it owns the state folder, or will own it once the folder is usable. The signals
+  // that end the process must already be blocked, because this starts threads. Throws the
+  // exceptions of the file readers, and std::runtime_error.
   ForwarderService(const ServeOptions& options, Config config, FolderOwner& owner, Socket listener);
   ForwarderService(const ForwarderService&) = delete;
   ForwarderService& operator=(const ForwarderService&) = delete;
 
-  // Forwards messages until a graceful shutdown is over. The thread that calls it becomes the
-  // engine's.
+  // Forwards messages until a graceful shutdown is complete. The calling thread becomes the engine
+  // thread.
   void Run();
-  // Any thread.
+  // May be called from any thread.
   void BeginGracefulShutdown();
-  // Reads the configuration and the roster again; what is invalid leaves a line in the log and
-  // changes nothing. False if the configuration can't be read now: call again a little later. Any
-  // thread.
+  // Reads the configuration and the roster again. An invalid file is logged and changes nothing.
+  // Returns false if the configuration can't be read now; the caller should retry after a short
+  // delay. May be called from any thread.
   [[nodiscard]] bool Reload();
 
-  // In the spool, by what is on the disk; none while the spool can't be used. For the thread that
-  // has called Run.
+  // The number of open messages in the spool; nullopt while the spool is unavailable. Must be
+  // called from the thread that called Run.
   [[nodiscard]] std::optional<std::size_t> open_messages() const;
   [[nodiscard]] const std::string& name() const { return config_.name; }
-  // Where it listens, IPv4:PORT.
+  // The listening address, IPv4:PORT.
   [[nodiscard]] const std::string& address() const { return address_; }
 
  private:
@@ -79,18 +79,20 @@
   Spool spool_;
   ConditionStore conditions_;
   EndpointExclusions exclusions_;
-  const std::unique_ptr<OperatorCommands> operator_commands_;  // nullptr: no second address
-  const std::unique_ptr<EndpointSources> sources_;             // nullptr: the platform alone
+  const std::unique_ptr<OperatorCommands> operator_commands_;  // nullptr: no operators' address
+  const std::unique_ptr<EndpointSources> sources_;             // nullptr: only the platform
   const std::unique_ptr<fleet::Fleet> fleet_;                  // nullptr: no fleet
-  const MemberList initial_list_;  // made before the engine, whose lists from discovery are newer
-  // Lists may come before the engine's constructor returns; whoever has one waits for the engine.
+  // Created before the engine, because the lists that the engine gets from discovery are newer.
+  const MemberList initial_list_;
+  // Lists may arrive before the engine's constructor returns. Their receivers wait for this future.
   std::promise<Engine*> engine_promise_;
   const std::shared_future<Engine*> engine_made_;
   Engine engine_;
   std::string address_;
   std::optional<ClientServer> clients_;
   std::atomic<bool> shutting_down_{false};
-  std::unique_ptr<OperatorServer> operator_server_;  // the last member: it calls the others
+  // The last member, so that it is destroyed first: it calls the others.
+  std::unique_ptr<OperatorServer> operator_server_;
 };
 
 }  // namespace brassfront
--- a/src/cli/inspect.cpp
+++ b/src/cli/inspect.cpp
@@ -23,13 +23,13 @@
   const Config config = LoadConfig(path);
   for (const std::string& warning : config.warnings) std::cout << path << ": " << warning << "\n";
   std::cout << path << ": good; forwarder " << config.name << " at " << config.listen << ", "
-            << config.known_endpoints.members.size() << " next hops known\n";
+            << config.known_endpoints.members.size() << " known endpoints\n";
   return 0;
 }
 
 namespace {
 
-// Exit status 1 if the spool has no record of it.
+// Returns exit status 1 if the spool has no record of the message.
 int PrintHistory(const std::string& folder, const std::string& client_id) {
   const File file = File::OpenToRead(folder + "/spool");
   if (!file.is_open()) throw ConfigError("no spool in " + folder);
@@ -44,7 +44,7 @@
 
 int SpoolCommand(int argc, char** argv) {
   cxxopts::Options options("brassfront spool");
-  options.add_options()("state", "folder that lasts [$NODE_STATE]",
+  options.add_options()("state", "state folder [$NODE_STATE]",
                         cxxopts::value<std::string>()->default_value(Environment("NODE_STATE")))(
       "history", "the records of the message with this client's id",
       cxxopts::value<std::string>()->default_value(""));
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -20,12 +20,12 @@
 }
 
 std::optional<cxxopts::ParseResult> ParseOptions(cxxopts::Options& options, int argc, char** argv) {
-  options.add_options()("h,help", "print this");
+  options.add_options()("h,help", "print this help text");
   cxxopts::ParseResult result;
   try {
     result = options.parse(argc, argv);
     if (!result.unmatched().empty()) {
-      throw UsageError("not understood: " + result.unmatched().front());
+      throw UsageError("unexpected argument: " + result.unmatched().front());
     }
   } catch (const cxxopts::exceptions::exception& error) {
     throw UsageError(error.what());
@@ -39,18 +39,17 @@
 
 constexpr auto kCommands = std::to_array<Command>({
     {"serve", "forward messages until SIGTERM", ServeCommand},
-    {"check-config", "read the configuration and say what is wrong with it", CheckConfigCommand},
-    {"spool", "list the messages that a state folder still owes an end", SpoolCommand},
-    {"check-records", "read an operator file and say all that is wrong with it",
-     CheckRecordsCommand},
+    {"check-config", "check the configuration and report its errors", CheckConfigCommand},
+    {"spool", "list the unfinished messages in a state folder", SpoolCommand},
+    {"check-records", "check an operator file and report its errors", CheckRecordsCommand},
 #ifdef BRASSFRONT_KIT
     {"rehearse", "play partner outages on this machine and judge them", RehearseCommand},
 #endif
 #ifdef BRASSFRONT_FLEET
-    {"fleet", "ask a forwarder of its fleet, and take machines out for work", FleetCommand},
+    {"fleet", "show the state of a forwarder's fleet, and schedule maintenance", FleetCommand},
 #endif
 #ifdef BRASSFRONT_ZONES
-    {"zone", "read and change DNS zones, and serve them", ZoneCommand},
+    {"zone", "read, change and serve DNS zones", ZoneCommand},
 #endif
 });
 
@@ -61,7 +60,7 @@
   }
   out << "  " << std::left << std::setw(14) << "version"
       << "print the version\n  " << std::setw(14) << "help"
-      << "print this; `brassfront COMMAND --help` tells a command's options\n";
+      << "print this text; `brassfront COMMAND --help` lists a command's options\n";
 }
 
 int Main(int argc, char** argv) {
@@ -84,7 +83,7 @@
       return 2;
     }
   }
-  if (!name.empty()) std::cerr << "brassfront: no command " << name << "\n";
+  if (!name.empty()) std::cerr << "brassfront: unknown command " << name << "\n";
   PrintUsage(std::cerr);
   return 2;
 }
@@ -95,7 +94,8 @@
 int main(int argc, char** argv) {
   brassfront::OpenStandardDescriptors();
   brassfront::IgnoreWriteSignals();
-  // Hundreds of threads: an arena for each few of them would cost more memory than their stacks.
+  // With hundreds of threads, the default number of arenas would cost more memory than their
+  // stacks.
   mallopt(M_ARENA_MAX, 2);
   try {
     return brassfront::Main(argc, argv);
--- a/src/cli/optional_features.hpp
+++ b/src/cli/optional_features.hpp
@@ -1,6 +1,6 @@
-// The parts of the forwarder that a build may leave out: DNS zones as sources of endpoints, and the
-// fleet. Where one is left out, a type with the same methods that does nothing stands in for it, so
-// that the code which wires the forwarder is the same in each build.
+// The optional parts of the forwarder: DNS zones as sources of endpoints, and the fleet. In a build
+// without one of them, a stub type with the same methods that does nothing replaces it, so that the
+// code that connects the parts is the same in every build.
 #ifndef BRASSFRONT_CLI_OPTIONAL_FEATURES_HPP_
 #define BRASSFRONT_CLI_OPTIONAL_FEATURES_HPP_
 
@@ -44,12 +44,12 @@
 }  // namespace fleet
 #endif
 
-// nullptr if no file is named. Throws ConfigError if one is named and zones are left out, and what
-// the file's reader throws.
+// Returns nullptr if `path` is empty. Throws ConfigError if a path is given but the build has no
+// zones, and the exceptions of LoadSources.
 [[nodiscard]] std::unique_ptr<EndpointSources> CreateSources(const std::string& path,
                                                              const Config& config);
-// nullptr if no roster is named. Throws ConfigError if one is named and the fleet is left out, and
-// what Fleet's constructor throws.
+// Returns nullptr if `roster_path` is empty. Throws ConfigError if a path is given but the build
+// has no fleet, and the exceptions of Fleet's constructor.
 [[nodiscard]] std::unique_ptr<fleet::Fleet> CreateFleet(const std::string& roster_path,
                                                         const Config& config,
                                                         const std::string& state_folder,
--- a/src/cli/process_end.cpp
+++ b/src/cli/process_end.cpp
@@ -13,7 +13,7 @@
 namespace brassfront {
 namespace {
 
-// Only what signal-safety(7) allows: no allocation, no lock, no time of day.
+// Does only what signal-safety(7) allows: no allocation, no locks, no wall clock.
 void WriteFatalSignal(int signal) {
   constexpr std::string_view kText = "brassfront: fatal signal ";
   std::array<char, kText.size() + 4> line{};
@@ -25,7 +25,7 @@
   static_cast<void>(!write(STDERR_FILENO, line.data(), length));
 }
 
-// The action is the default again by now: the signal that returns ends the process.
+// SA_RESETHAND has restored the default action, so raising the signal again ends the process.
 extern "C" void OnFatalSignal(int signal) {
   WriteFatalSignal(signal);
   raise(signal);
--- a/src/cli/process_end.hpp
+++ b/src/cli/process_end.hpp
@@ -1,4 +1,4 @@
-// Says in the log why the process ends, whatever ends it.
+// Logs why the process ends, both for an exit and for a fatal signal.
 #ifndef BRASSFRONT_CLI_PROCESS_END_HPP_
 #define BRASSFRONT_CLI_PROCESS_END_HPP_
 
@@ -6,11 +6,12 @@
 
 namespace brassfront {
 
-// From now on a fatal signal (SIGSEGV, SIGBUS, SIGFPE, SIGILL, SIGABRT) leaves a line with its
-// number and then ends the process as before. To be called once, before threads start.
+// Installs handlers for SIGSEGV, SIGBUS, SIGFPE, SIGILL and SIGABRT that write a line with the
+// signal's number; the signal then ends the process as by default. Must be called once, before
+// threads are started.
 void LogFatalSignals();
 
-// The last line: why the process exits, and its status.
+// Writes the last log line, with the reason why the process exits and its exit status.
 void LogExit(std::string_view reason, int status);
 
 }  // namespace brassfront
--- a/src/cli/rehearse.cpp
+++ b/src/cli/rehearse.cpp
@@ -23,14 +23,14 @@
 namespace fs = std::filesystem;
 using rehearsal::Result;
 
-// The exit statuses that the page names.
+// The documented exit statuses.
 constexpr int kPassed = 0, kFailed = 1, kBad = 2, kInvalid = 3;
 
 constexpr const char* kHelp =
     "brassfront rehearse run FILE    play a scenario and judge it\n"
-    "brassfront rehearse campaign FILE   play it with random faults, again and again\n"
-    "brassfront rehearse check FILE  say all that is wrong with a scenario\n"
-    "brassfront rehearse plan FILE   print what it would ask for, and when\n"
+    "brassfront rehearse campaign FILE   play it repeatedly with random faults\n"
+    "brassfront rehearse check FILE  check a scenario and report its errors\n"
+    "brassfront rehearse plan FILE   print the messages and actions that it plans, with times\n"
     "brassfront rehearse list        list the scenarios of a folder\n"
     "brassfront rehearse report DIR  print a run's report again\n"
     "brassfront rehearse schema      print the fields that a scenario may have\n";
@@ -46,7 +46,7 @@
     folder = fs::temp_directory_path() / ("rehearsal-" + std::to_string(getpid()) + "-" +
                                           scenario.name + "-" + std::to_string(seed));
   }
-  // What an earlier run left in its states would be accepted up by this one.
+  // Removes state folders of an earlier run; the forwarders would otherwise recover their messages.
   for (std::size_t f = 0; f < scenario.forwarders.count; ++f) {
     fs::remove_all(folder / ("n" + std::to_string(f)));
   }
@@ -61,7 +61,7 @@
   options.forwarder = given["forwarder"].as<std::string>();
   if (options.forwarder.empty()) options.forwarder = fs::read_symlink("/proc/self/exe").string();
   if (access(options.forwarder.c_str(), X_OK) != 0) {
-    throw UsageError("no forwarder to run at " + options.forwarder);
+    throw UsageError("no executable forwarder at " + options.forwarder);
   }
   options.out = FolderFor(given["out"].as<std::string>(), scenario, options.seed);
   const bool quiet = given.count("quiet") > 0;
@@ -147,14 +147,16 @@
                            "Plays partner outages on this machine and judges them");
   options.add_options()("what", "run, campaign, check, plan, list, report or schema",
                         cxxopts::value<std::string>()->default_value(""))(
-      "target", "a scenario, or a folder", cxxopts::value<std::string>()->default_value(""))(
-      "seed", "of all that is drawn", cxxopts::value<std::uint64_t>()->default_value("1"))(
+      "target", "a scenario or a folder", cxxopts::value<std::string>()->default_value(""))(
+      "seed", "seed of all random choices", cxxopts::value<std::uint64_t>()->default_value("1"))(
       "out", "folder for the report, the logs and the states",
       cxxopts::value<std::string>()->default_value(""))(
-      "forwarder", "the program to rehearse with; this one if it is left out",
-      cxxopts::value<std::string>()->default_value(""))("quiet", "no progress")(
-      "runs", "of a campaign, at most", cxxopts::value<std::size_t>()->default_value("0"))(
-      "minutes", "of a campaign, at most", cxxopts::value<double>()->default_value("0"))(
+      "forwarder", "the forwarder program to rehearse; the default is this program",
+      cxxopts::value<std::string>()->default_value(""))("quiet", "print no progress")(
+      "runs", "maximum runs of a campaign; 0: no limit",
+      cxxopts::value<std::size_t>()->default_value("0"))(
+      "minutes", "maximum duration of a campaign; 0: no limit",
+      cxxopts::value<double>()->default_value("0"))(
       "jobs", "plays of a campaign at once", cxxopts::value<std::size_t>()->default_value("1"));
   options.parse_positional({"what", "target"});
   options.custom_help("[OPTIONS]");
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -1,4 +1,4 @@
-// `brassfront serve`: reads its command line, runs the forwarder and carries out signals.
+// `brassfront serve`: parses its command line, runs the forwarder and handles signals.
 #include <pthread.h>
 #include <sysexits.h>
 #include <unistd.h>
@@ -25,11 +25,12 @@
 using observe::Concern;
 using observe::Level;
 
-// SIGUSR1 and SIGUSR2 mean nothing here: they leave a line, and do not end the process.
+// SIGUSR1 and SIGUSR2 have no function; they are only logged, so that they do not end the process.
 constexpr auto kHandledSignals =
     std::to_array<int>({SIGTERM, SIGINT, SIGQUIT, SIGHUP, SIGUSR1, SIGUSR2});
 
-// Blocked in every thread that is started from here on; one of them waits for these.
+// Blocks the signals in this thread and all threads that it starts. The signal thread waits for
+// them.
 sigset_t BlockSignals() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -38,8 +39,8 @@
   return signals;
 }
 
-// Until `over`. A reload whose file can't be read now is tried again, which keeps no other signal
-// waiting.
+// Handles signals until `over`. Retries a reload whose file can't be read now, without delaying
+// other signals.
 void CarryOutSignals(const sigset_t& signals, ForwarderService& service,
                      const std::atomic<bool>& over) {
   constexpr timespec kReloadRetryDelay{.tv_sec = 0, .tv_nsec = 200'000'000};
@@ -60,13 +61,13 @@
   }
 }
 
-// Why a process ends.
+// Why the process ends, and its exit status.
 struct ServeResult {
   const char* reason;
   int status;
 };
 
-// After a takeover that failed.
+// Returns the error text after a failed takeover.
 std::string WhyUnavailable(FolderOwner& owner, const std::string& listen, int listen_error) {
   if (owner.Lock() != FileLock::Outcome::kHeldByOther) {
     return "cannot listen on " + listen + ": " + std::strerror(listen_error);
@@ -83,12 +84,12 @@
   FolderOwner owner(state_folder);
   Takeover takeover = TakeOver(owner, config.listen, kTakeoverLimit);
   if (takeover.outcome == TakeoverOutcome::kStopped) {
-    return {"asked to end before it took over", EX_OK};
+    return {"asked to end before the takeover was complete", EX_OK};
   }
   if (takeover.outcome != TakeoverOutcome::kDone) {
     throw UnavailableError(WhyUnavailable(owner, config.listen, takeover.error));
   }
-  BeginStartup();  // the wait for a predecessor does not count
+  BeginStartup();  // the wait for a predecessor does not count towards startup
   ForwarderService service(options, std::move(config), owner, std::move(takeover.listener));
   std::atomic<bool> over{false};
   Thread signal_thread =
@@ -97,13 +98,13 @@
                {{"name", service.name()}, {"listen", service.address()}});
   service.Run();
   over = true;
-  kill(getpid(), SIGTERM);  // wakes the signal thread, which takes it
+  kill(getpid(), SIGTERM);  // wakes the signal thread, which receives it and returns
   signal_thread.Join();
   if (const auto open = service.open_messages()) owner.RecordGracefulEnd(*open);
   return {"shutdown complete", 0};
 }
 
-// By sysexits.h.
+// Exit statuses as in sysexits.h.
 int ExitStatus(const std::exception& error) {
   if (dynamic_cast<const ConfigError*>(&error) != nullptr) return EX_CONFIG;
   if (dynamic_cast<const UnavailableError*>(&error) != nullptr) return EX_UNAVAILABLE;
@@ -124,13 +125,13 @@
 }  // namespace
 
 int ServeCommand(int argc, char** argv) {
-  const sigset_t signals = BlockSignals();  // first: a SIGHUP may come at any moment
+  const sigset_t signals = BlockSignals();  // first, because a SIGHUP may arrive at any moment
   cxxopts::Options options("brassfront serve");
   options.add_options()("config", "configuration file [$NODE_CONFIG]",
                         cxxopts::value<std::string>()->default_value(Environment("NODE_CONFIG")))(
-      "state", "folder that lasts [$NODE_STATE]",
+      "state", "state folder, which must survive restarts [$NODE_STATE]",
       cxxopts::value<std::string>()->default_value(Environment("NODE_STATE")))(
-      "sources", "operator file of further sources of endpoints",
+      "sources", "operator file with additional sources of endpoints",
       cxxopts::value<std::string>()->default_value(""))(
       "fleet", "operator file of the forwarders that share what they know",
       cxxopts::value<std::string>()->default_value(""))(
--- a/src/cli/state_takeover.cpp
+++ b/src/cli/state_takeover.cpp
@@ -27,7 +27,7 @@
          sigismember(&pending, SIGQUIT) == 1;
 }
 
-// The time that all waits of one takeover share.
+// The time limit that all waits of one takeover share.
 class Wait {
  public:
   explicit Wait(milliseconds limit) : limit_(limit) {}
@@ -36,7 +36,7 @@
   [[nodiscard]] milliseconds elapsed() const {
     return std::chrono::duration_cast<milliseconds>(steady_clock::now() - start_);
   }
-  // Pauses before another try; or why there is to be none.
+  // Pauses before the next attempt. Returns an outcome if there must not be another attempt.
   [[nodiscard]] std::optional<TakeoverOutcome> Continue() const {
     if (IsAskedToEnd()) return TakeoverOutcome::kStopped;
     if (elapsed() >= limit_) return TakeoverOutcome::kTimedOut;
@@ -67,7 +67,8 @@
         predecessor.open_messages ? std::to_string(*predecessor.open_messages) : "unknown"}});
 }
 
-// kDone also where the folder can't be locked for now. Leaves the owner's note as it is.
+// Locks the folder. Returns kDone also if the lock attempt fails for now. Does not change the
+// owner's note.
 TakeoverOutcome LockFolder(FolderOwner& owner, const Wait& wait) {
   bool logged = false;
   while (true) {
@@ -88,8 +89,8 @@
   }
 }
 
-// An address that another process has is waited for; so are other conditions of a moment, but no
-// longer than any part of a start.
+// Waits for an address that another process uses, up to the limit of the takeover. Retries other
+// transient failures until the startup deadline.
 Takeover TakeOverAddress(const std::string& listen, const Wait& wait) {
   const auto startup_deadline = steady_clock::now() + kStartupRetryLimit;
   bool logged = false;
--- a/src/cli/zone.cpp
+++ b/src/cli/zone.cpp
@@ -1,4 +1,4 @@
-// `brassfront zone`: reads its command line; serves zones as a name server itself.
+// `brassfront zone`: parses its command line. Also implements `zone serve`, a name server.
 #include <pthread.h>
 
 #include <csignal>
@@ -30,15 +30,16 @@
 using zone_commands::UpdateZone;
 
 constexpr const char* kHelp =
-    "brassfront zone check FILE          say all that is wrong with a zone file\n"
-    "brassfront zone show FILE|FOLDER    print a zone, or with --endpoints what it lists\n"
-    "brassfront zone diff OLD NEW        print what leads from one zone to the other\n"
-    "brassfront zone query SERVER NAME [TYPE]   ask a name server; AXFR and IXFR=SERIAL too\n"
+    "brassfront zone check FILE          check a zone file and report its errors\n"
+    "brassfront zone show FILE|FOLDER    print a zone, or with --endpoints its endpoints\n"
+    "brassfront zone diff OLD NEW        print the records removed and added between two zones\n"
+    "brassfront zone query SERVER NAME [TYPE]   query a name server; TYPE may be AXFR or "
+    "IXFR=SERIAL\n"
     "brassfront zone update SERVER STEP...      change a zone; steps are\n"
     "    'add NAME TTL TYPE RDATA'  'delete NAME [TYPE [RDATA]]'\n"
-    "    'require NAME [TYPE [RDATA]]'  'forbid NAME [TYPE]'   - reads them from standard input\n"
-    "brassfront zone serve FILE          run a name server by an operator file\n"
-    "brassfront zone schema              print the fields that such a file may have\n";
+    "    'require NAME [TYPE [RDATA]]'  'forbid NAME [TYPE]'   - reads steps from standard input\n"
+    "brassfront zone serve FILE          run a name server configured by an operator file\n"
+    "brassfront zone schema              print the schema of operator files for zones\n";
 
 int ServeZones(const std::string& path, const cxxopts::ParseResult& given) {
   observe::LogOptions log;
@@ -66,19 +67,19 @@
 
 int ZoneCommand(int argc, char** argv) {
   cxxopts::Options options("brassfront zone", kHelp);
-  options.add_options()("words", "what to do", cxxopts::value<std::vector<std::string>>())(
-      "origin", "the zone's name", cxxopts::value<std::string>())(
-      "endpoints", "show what the zone lists for routing")("key", "file of the key to sign with",
-                                                           cxxopts::value<std::string>())(
-      "tcp", "ask by TCP at once")("wait", "ms for one try",
-                                   cxxopts::value<unsigned>()->default_value("500"))(
-      "log-level", "of serve", cxxopts::value<std::string>()->default_value("info"));
+  options.add_options()("words", "the command and its arguments",
+                        cxxopts::value<std::vector<std::string>>())("origin", "the zone's name",
+                                                                    cxxopts::value<std::string>())(
+      "endpoints", "show the endpoints that the zone lists")(
+      "key", "file of the signing key", cxxopts::value<std::string>())("tcp", "ask by TCP at once")(
+      "wait", "timeout of one attempt, in ms", cxxopts::value<unsigned>()->default_value("500"))(
+      "log-level", "log level of serve", cxxopts::value<std::string>()->default_value("info"));
   options.parse_positional({"words"});
   options.positional_help("WHAT ...");
   const std::optional<cxxopts::ParseResult> parsed = ParseOptions(options, argc, argv);
   if (!parsed) return kExitDone;
   const cxxopts::ParseResult& given = *parsed;
-  if (given.count("words") == 0) throw UsageError("nothing to do is named");
+  if (given.count("words") == 0) throw UsageError("no command is given");
   auto words = given["words"].as<std::vector<std::string>>();
   const std::string subcommand = words[0];
   words.erase(words.begin());
--- a/src/cli/zone_client.cpp
+++ b/src/cli/zone_client.cpp
@@ -1,4 +1,4 @@
-// `brassfront zone query` and `update`: asks name servers.
+// `brassfront zone query` and `update`: clients of name servers.
 #include <cxxopts.hpp>
 #include <iostream>
 #include <optional>
@@ -19,7 +19,7 @@
 using dns::Record;
 
 nameserver::Ask ParseServer(const std::string& server, const cxxopts::ParseResult& given) {
-  if (!IsAddress(server)) throw UsageError("'" + server + "' is no server: IPv4:PORT");
+  if (!IsAddress(server)) throw UsageError("'" + server + "' is not a server address IPv4:PORT");
   nameserver::Ask ask;
   ask.server = server;
   ask.stream = given.count("tcp") > 0;
@@ -53,8 +53,8 @@
   for (const auto& record : records) std::cout << section << " " << record.ToText() << "\n";
 }
 
-// One step of an update, put into the section that it belongs to. It is read as a line of a zone
-// file, so that quotes and escapes are as they are there.
+// Parses one step of an update and adds it to its section of the message. The step is read like a
+// line of a zone file, with the same quotes and escapes.
 void AddStep(const std::string& step, const Name& zone, dns::Message& update) {
   std::istringstream in(step);
   std::string verb, name_text, rest;
--- a/src/cli/zone_commands.hpp
+++ b/src/cli/zone_commands.hpp
@@ -1,4 +1,4 @@
-// The parts of `brassfront zone`, one function a sub-command. For zone.cpp alone, which reads the
+// The sub-commands of `brassfront zone`, one function each. Used only by zone.cpp, which parses the
 // command line.
 #ifndef BRASSFRONT_CLI_ZONE_COMMANDS_HPP_
 #define BRASSFRONT_CLI_ZONE_COMMANDS_HPP_
@@ -14,7 +14,8 @@
 
 namespace brassfront::zone_commands {
 
-// The exit statuses that the page names. kExitOther: the server or the comparison says no.
+// The documented exit statuses. kExitOther: the server returned an error, the zones differ, or a
+// file is invalid.
 inline constexpr int kExitDone = 0;
 inline constexpr int kExitOther = 1;
 inline constexpr int kExitNoAnswer = 3;
@@ -22,7 +23,7 @@
 // Throws UsageError.
 [[nodiscard]] dns::Name ParseName(const std::string& text);
 
-// ---- files: zone_files.cpp. Each throws dns::InvalidZone or zones::StoreError. ----
+// ---- files: zone_files.cpp. The functions throw dns::InvalidZone or zones::StoreError. ----
 int CheckZone(const std::string& path, const cxxopts::ParseResult& given);
 int ShowZone(const std::string& path, const cxxopts::ParseResult& given);
 int DiffZones(const std::string& from, const std::string& to, const cxxopts::ParseResult& given);
--- a/src/cli/zone_files.cpp
+++ b/src/cli/zone_files.cpp
@@ -16,7 +16,8 @@
 namespace fs = std::filesystem;
 using dns::Name;
 
-// The zone's name as asked for, or that of its file: example.zone is example.
+// Returns the name given by --origin, or else the one from the file name: `example` for
+// example.zone.
 Name ZoneOrigin(const cxxopts::ParseResult& given, const std::string& path) {
   if (given.count("origin") > 0) return ParseName(given["origin"].as<std::string>());
   const fs::path file = fs::path(path).filename();
@@ -24,7 +25,7 @@
   throw UsageError("--origin must name the zone, unless the file is called NAME.zone");
 }
 
-// From a file, or from the folder that a name server keeps it in.
+// Loads a zone from a zone file, or from the folder in which a name server stores it.
 dns::Zone LoadZoneFrom(const std::string& path, const Name& origin) {
   if (!fs::is_directory(path)) return zones::LoadZone(path, origin);
   if (!fs::exists(fs::path(path) / "snapshot")) {
