--- a/scripts/run_tests.py
+++ b/scripts/run_tests.py
@@ -1,15 +1,16 @@
 #!/usr/bin/env python3
-"""Runs the tests of several builds, and says at the end how many passed and failed.
+"""Runs the tests of several builds and prints how many passed and failed.
 
     run_tests.py --build build-tests --sanitizer-build build-asan 'slow|one-thread'
 
-KNOWN-RED.txt lists failures that are known, a line each:
+KNOWN-RED.txt lists known failures, one per line:
 
     TEST: what was seen: issue      a test of CTest: it is run last, and may fail
     by hand: COMMAND: what was seen: issue      nothing is run
 
-A listed test that a build does not have is said to be absent there; one that no build
-has is an error. The last line is `N passed, N failed`, without the listed tests.
+A listed test that a build does not have is reported as absent there; one that no
+build has is an error. The last line is `N passed, N failed`, without the listed
+tests.
 """
 
 import argparse
@@ -36,7 +37,7 @@
 
 @dataclasses.dataclass
 class Build:
-    """A build folder, and which of its tests are run."""
+    """A build folder and the selection of its tests to run."""
 
     folder: str
     excluded_labels: str = ""  # a regular expression; empty: none
@@ -68,7 +69,7 @@
 
 
 def read_known_red(text):
-    """The names of the listed tests, each with its line."""
+    """Returns a dictionary from the names of the listed tests to their lines."""
     lines = {}
     for line in filter(str.strip, text.splitlines()):
         if line.startswith(BY_HAND):
@@ -85,7 +86,7 @@
 
 
 def run(build, *options, quiet=False):
-    """The counts of one run of CTest. A run that tells no results has failed."""
+    """Runs CTest once and returns the counts. A run without results has failed."""
     with tempfile.TemporaryDirectory() as folder:
         results = pathlib.Path(folder) / "results.xml"
         command = build.command(
@@ -110,7 +111,7 @@
 
 
 def run_known_red(build, name, line):
-    """Runs a listed test alone, and says what became of it."""
+    """Runs a listed test alone and prints its outcome."""
     outcome = run(build, "-R", "^%s$" % name, quiet=True)
     if outcome.failed:
         print("test: %s failed, as KNOWN-RED.txt says it may: %s" % (name, line))
@@ -119,7 +120,7 @@
 
 
 def run_build(build, known_red, absent):
-    """Runs a build's tests. A listed test that the build has leaves `absent`."""
+    """Runs a build's tests. Removes the listed tests that it has from `absent`."""
     present = known_red.keys() & build.test_names()
     options = ["-E", "^(%s)$" % "|".join(present)] if present else []
     counts = run(build, *options)
--- a/tests/spool/salvage_test.cpp
+++ b/tests/spool/salvage_test.cpp
@@ -1,4 +1,4 @@
-// Spools with damaged places: only what was damaged is missing, and it is named.
+// Spool files with damage: only the damaged records are lost, and the damage is reported.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -24,7 +24,7 @@
 constexpr std::size_t kHeaderBytes = 8;
 constexpr const char* kHeader = "BRSPOOL1";
 
-// A stored file, and what is known of its records.
+// A record in the stored file, and the file with all its records.
 struct StoredRecord {
   std::size_t offset = 0;
   std::size_t bytes = 0;
@@ -74,9 +74,9 @@
   return file;
 }
 
-using Places = std::vector<std::pair<std::size_t, std::size_t>>;  // first and behind the last byte
+using Places = std::vector<std::pair<std::size_t, std::size_t>>;  // [begin, end) of each place
 
-// Changes bytes behind the header; each byte of a place is changed.
+// Changes all bytes of `places` random places after the header.
 Places Damage(std::string& bytes, std::mt19937& random, int places) {
   Places damaged;
   for (int i = 0; i < places; ++i) {
@@ -136,7 +136,7 @@
   });
 }
 
-TEST_CASE("damaged places cost what they hit, and are named") {
+TEST_CASE("damaged places lose only the records that they overlap, and are reported") {
   for (unsigned seed = 1; seed <= 500; ++seed) {
     CAPTURE(seed);
     std::mt19937 random(seed);
@@ -180,7 +180,7 @@
   }
 }
 
-TEST_CASE("a damaged header costs no message") {
+TEST_CASE("a damaged header loses no message") {
   std::mt19937 random(1);
   const StoredFile file = MakeFile(random);
   const SpoolFolder whole;
@@ -196,7 +196,7 @@
   }
 }
 
-TEST_CASE("a torn last record was not written, and no message counts as run for it") {
+TEST_CASE("an incompletely written last record is ignored, and no message counts as run") {
   std::string bytes = kHeader + AcceptedRecord(1, "b");
   const std::string last = spool::Encode(spool::AttemptStarted{1, "endpoint", UnixMs(500)});
   for (std::size_t length = 1; length < last.size(); ++length) {
@@ -206,7 +206,7 @@
     REQUIRE(recovered.size() == 1);
     CHECK(recovered[0].attempts.empty());
   }
-  for (std::size_t at = 0; at < last.size(); ++at) {  // whole, but damaged: it was written
+  for (std::size_t at = 0; at < last.size(); ++at) {  // completely written, then damaged
     std::string damaged = last;
     damaged[at] = static_cast<char>(damaged[at] ^ 0x01);
     const SpoolFolder folder;
@@ -217,7 +217,7 @@
   }
 }
 
-TEST_CASE("what a client wrote into a damaged message is not taken for records") {
+TEST_CASE("records in the body of a damaged message are not read as records of the spool") {
   const std::string forged = spool::Encode(spool::MessageFinished{1}) + AcceptedRecord(9, "forged");
   const std::string first = kHeader + AcceptedRecord(1, "b");
   const std::string message = AcceptedRecord(2, forged + "tail");
@@ -235,7 +235,7 @@
   }
 }
 
-TEST_CASE("an outcome behind a gap does not clear what may have run in it") {
+TEST_CASE("an outcome after damage does not clear an attempt that the damage may have lost") {
   std::string bytes = kHeader + AcceptedRecord(1, "b");
   const std::size_t damaged = bytes.size() + spool::kFrameBytes + 3;
   bytes += spool::Encode(spool::AttemptStarted{1, "a", UnixMs(500)});
