--- a/src/cli/forwarder_service.cpp
+++ b/src/cli/forwarder_service.cpp
@@ -26,9 +26,9 @@
 // Descriptors for the standard streams, the spool, the listener and the platform, with some spare.
 constexpr std::size_t kReservedDescriptors = 24;
 // Clients get at least a quarter of the descriptors.
-constexpr std::size_t kMinClientDescriptorShare = 4;
+constexpr std::size_t kMinClientDescriptorDivisor = 4;
 // Idle clients keep at most a sixth of the descriptors; clients use a third at most.
-constexpr std::size_t kIdleClientDescriptorShare = 6;
+constexpr std::size_t kIdleClientDescriptorDivisor = 6;
 
 // Time limit for confirming secondary zones at the start; after it their stored copies are used.
 constexpr std::chrono::milliseconds kZoneConfirmationTimeout{500};
@@ -41,7 +41,7 @@
   const std::size_t others =
       kReservedDescriptors + operators + Engine::MaxEndpointConnections(config);
   const std::size_t left =
-      std::max(all > others ? all - others : 0, all / kMinClientDescriptorShare);
+      std::max(all > others ? all - others : 0, all / kMinClientDescriptorDivisor);
   const std::size_t in_memory = config.limits.memory_bytes / 2 / kBytesPerClientConnection;
   return std::max<std::size_t>(1, std::min({kMaxClientConnections, left, in_memory}));
 }
@@ -123,7 +123,7 @@
       sources_(CreateSources(options.sources_path, config_)),
       fleet_(CreateFleet(options.roster_path, config_, owner.folder(), exclusions_)),
       initial_list_(InitialList()),
-      engine_made_(engine_promise_.get_future()),
+      engine_future_(engine_promise_.get_future()),
       engine_(config_, spool_, buffers_, ListInterceptor()) {
   engine_promise_.set_value(&engine_);
   if (spool_.is_available()) CheckAgainstPredecessor(owner.predecessor(), spool_);
@@ -163,7 +163,7 @@
 }
 
 void ForwarderService::SetEndpoints(MemberList list) {
-  engine_made_.get()->SetEndpoints(std::move(list));
+  engine_future_.get()->SetEndpoints(std::move(list));
 }
 
 void ForwarderService::StartClientServer(Socket listener) {
@@ -173,7 +173,7 @@
   }
   const ClientServer::Limits limits{
       .connections = MaxClientConnections(config_),
-      .max_idle = config_.limits.sockets / kIdleClientDescriptorShare};
+      .max_idle = config_.limits.sockets / kIdleClientDescriptorDivisor};
   clients_.emplace(std::move(listener), limits, engine_, buffers_);
 }
 
--- a/src/cli/forwarder_service.hpp
+++ b/src/cli/forwarder_service.hpp
@@ -86,7 +86,7 @@
   const MemberList initial_list_;
   // Lists may arrive before the engine's constructor returns. Their receivers wait for this future.
   std::promise<Engine*> engine_promise_;
-  const std::shared_future<Engine*> engine_made_;
+  const std::shared_future<Engine*> engine_future_;
   Engine engine_;
   std::string address_;
   std::optional<ClientServer> clients_;
--- a/src/cli/rehearse.cpp
+++ b/src/cli/rehearse.cpp
@@ -24,7 +24,7 @@
 using rehearsal::Result;
 
 // The documented exit statuses.
-constexpr int kPassed = 0, kFailed = 1, kBad = 2, kInvalid = 3;
+constexpr int kPassed = 0, kFailed = 1, kBadInput = 2, kInvalid = 3;
 
 constexpr const char* kHelp =
     "brassfront rehearse run FILE    play a scenario and judge it\n"
@@ -194,7 +194,7 @@
     }
   } catch (const records::BadRecords& bad) {
     std::cerr << bad.what() << "\n";
-    return kBad;
+    return kBadInput;
   }
   throw UsageError("no such thing to do: " + what);
 }
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -39,16 +39,16 @@
   return signals;
 }
 
-// Handles signals until `over`. Retries a reload whose file can't be read now, without delaying
+// Handles signals until `finished`. Retries a reload whose file can't be read now, without delaying
 // other signals.
-void CarryOutSignals(const sigset_t& signals, ForwarderService& service,
-                     const std::atomic<bool>& over) {
+void HandleSignals(const sigset_t& signals, ForwarderService& service,
+                   const std::atomic<bool>& finished) {
   constexpr timespec kReloadRetryDelay{.tv_sec = 0, .tv_nsec = 200'000'000};
   bool reload_is_due = false;
-  while (!over) {
+  while (!finished) {
     const int signal = reload_is_due ? sigtimedwait(&signals, nullptr, &kReloadRetryDelay)
                                      : sigwaitinfo(&signals, nullptr);
-    if (over) return;
+    if (finished) return;
     if (signal > 0) {
       observe::Log(Concern::kService, Level::kInfo, "signal received",
                    {{"signal", sigabbrev_np(signal)}});
@@ -68,7 +68,8 @@
 };
 
 // Returns the error text after a failed takeover.
-std::string WhyUnavailable(FolderOwner& owner, const std::string& listen, int listen_error) {
+std::string DescribeUnavailability(FolderOwner& owner, const std::string& listen,
+                                   int listen_error) {
   if (owner.Lock() != FileLock::Outcome::kHeldByOther) {
     return "cannot listen on " + listen + ": " + std::strerror(listen_error);
   }
@@ -87,17 +88,17 @@
     return {"asked to end before the takeover was complete", EX_OK};
   }
   if (takeover.outcome != TakeoverOutcome::kDone) {
-    throw UnavailableError(WhyUnavailable(owner, config.listen, takeover.error));
+    throw UnavailableError(DescribeUnavailability(owner, config.listen, takeover.error));
   }
   BeginStartup();  // the wait for a predecessor does not count towards startup
   ForwarderService service(options, std::move(config), owner, std::move(takeover.listener));
-  std::atomic<bool> over{false};
+  std::atomic<bool> finished{false};
   Thread signal_thread =
-      Thread::Require("signals", [&] { CarryOutSignals(signals, service, over); });
+      Thread::Require("signals", [&] { HandleSignals(signals, service, finished); });
   observe::Log(Concern::kService, Level::kInfo, "serving",
                {{"name", service.name()}, {"listen", service.address()}});
   service.Run();
-  over = true;
+  finished = true;
   kill(getpid(), SIGTERM);  // wakes the signal thread, which receives it and returns
   signal_thread.Join();
   if (const auto open = service.open_messages()) owner.RecordGracefulEnd(*open);
--- a/src/cli/state_takeover.cpp
+++ b/src/cli/state_takeover.cpp
@@ -19,7 +19,7 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-bool IsAskedToEnd() {
+bool IsTerminationPending() {
   sigset_t pending;
   sigemptyset(&pending);
   sigpending(&pending);
@@ -38,7 +38,7 @@
   }
   // Pauses before the next attempt. Returns an outcome if there must not be another attempt.
   [[nodiscard]] std::optional<TakeoverOutcome> Continue() const {
-    if (IsAskedToEnd()) return TakeoverOutcome::kStopped;
+    if (IsTerminationPending()) return TakeoverOutcome::kStopped;
     if (elapsed() >= limit_) return TakeoverOutcome::kTimedOut;
     Pause(kTransientPause);
     return std::nullopt;
@@ -56,7 +56,7 @@
                 {"limit_ms", limit.count()}});
 }
 
-void LogOwned(const FolderOwner& owner, milliseconds waited) {
+void LogFolderOwned(const FolderOwner& owner, milliseconds waited) {
   const OwnerNote predecessor = owner.predecessor();
   observe::SetGauge("state_folder_wait_ms", {}, waited.count());
   observe::Log(
@@ -122,7 +122,7 @@
   const milliseconds waited_for_folder = wait.elapsed();
   Takeover takeover = TakeOverAddress(listen, wait);
   if (takeover.outcome == TakeoverOutcome::kDone && owner.Owns()) {
-    LogOwned(owner, waited_for_folder);
+    LogFolderOwned(owner, waited_for_folder);
   }
   return takeover;
 }
--- a/src/cli/zone_client.cpp
+++ b/src/cli/zone_client.cpp
@@ -41,8 +41,8 @@
       for (const auto& record : change.removed) std::cout << "-" << record.ToText() << "\n";
       for (const auto& record : change.added) std::cout << "+" << record.ToText() << "\n";
     }
-  } else if (const auto* unfit = std::get_if<dns::ValidationError>(&result)) {
-    return ReportNoAnswer(server, unfit->why);
+  } else if (const auto* invalid = std::get_if<dns::ValidationError>(&result)) {
+    return ReportNoAnswer(server, invalid->why);
   } else {
     std::cout << "up to date\n";
   }
@@ -60,22 +60,22 @@
   std::string verb, name_text, rest;
   in >> verb >> name_text;
   std::getline(in >> std::ws, rest);
-  const auto bad = [&step](const std::string& why) { throw UsageError("'" + step + "': " + why); };
+  const auto fail = [&step](const std::string& why) { throw UsageError("'" + step + "': " + why); };
   std::string why;
   const auto name = Name::FromText(name_text, zone, why);
-  if (!name) bad(why);
-  const bool adds = verb == "add";
-  const bool requires_it = verb == "require";
-  if (!adds && !requires_it && verb != "delete" && verb != "forbid") {
-    bad("expected add, delete, require or forbid");
+  if (!name) fail(why);
+  const bool is_add = verb == "add";
+  const bool is_require = verb == "require";
+  if (!is_add && !is_require && verb != "delete" && verb != "forbid") {
+    fail("expected add, delete, require or forbid");
   }
   Record record{*name, dns::type::kAny, dns::klass::kAny, 0, ""};
   const std::string first = rest.substr(0, rest.find(' '));
-  const bool whole = adds || rest.find(' ') != std::string::npos;
-  if (whole) {
-    if (verb == "forbid") bad("forbid takes a name and at most a type");
+  const bool has_record = is_add || rest.find(' ') != std::string::npos;
+  if (has_record) {
+    if (verb == "forbid") fail("forbid takes a name and at most a type");
     try {
-      const std::string line = "@ " + std::string(adds ? "" : "0 ") + "IN " + rest + "\n";
+      const std::string line = "@ " + std::string(is_add ? "" : "0 ") + "IN " + rest + "\n";
       std::vector<Record> read;
       dns::ReadRecords(
           {"step", line, "step"}, *name,
@@ -83,21 +83,21 @@
             return std::optional<dns::ZoneText>();
           },
           [&read](Record record_read) { read.push_back(std::move(record_read)); });
-      if (read.size() != 1) bad("expected one record");
+      if (read.size() != 1) fail("expected one record");
       record = read[0];
     } catch (const dns::InvalidZone& fault) {
-      bad(fault.faults()[0].why);
+      fail(fault.faults()[0].why);
     }
     if (verb == "delete") record.klass = dns::klass::kNone;
   } else {
     if (!first.empty()) {
       const auto type = dns::TypeFromText(first);
-      if (!type) bad("'" + first + "' is no type");
+      if (!type) fail("'" + first + "' is no type");
       record.type = *type;
     }
     if (verb == "forbid") record.klass = dns::klass::kNone;
   }
-  (requires_it || verb == "forbid" ? update.answer : update.authority).push_back(record);
+  (is_require || verb == "forbid" ? update.answer : update.authority).push_back(record);
 }
 
 }  // namespace
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -64,7 +64,7 @@
 }
 
 void ReadTenants(const Value& settings, Config& config) {
-  for (const Value& tenant : ItemsOrNone(settings, "realms")) {
+  for (const Value& tenant : ArrayOrEmpty(settings, "realms")) {
     config.policy_settings.tenants.push_back({NumberOr(tenant, "quota-rps", 0)});
     config.tenant_names.push_back(tenant.At("name").Text());
   }
@@ -72,14 +72,14 @@
 
 std::vector<std::string> ReadNames(const Value& settings, std::string_view field) {
   std::vector<std::string> names;
-  for (const Value& name : ItemsOrNone(settings, field)) names.push_back(name.Text());
+  for (const Value& name : ArrayOrEmpty(settings, field)) names.push_back(name.Text());
   return names;
 }
 
 // Returns as many kinds as the longest of the three lists has.
 std::vector<dispatch_policy::KindSettings> ReadKinds(const Value& family, std::size_t named_kinds) {
-  const Value::Array& max_batches = ItemsOrNone(family, "bundle-max");
-  const Value::Array& own_limits = ItemsOrNone(family, "own-limits");
+  const Value::Array& max_batches = ArrayOrEmpty(family, "bundle-max");
+  const Value::Array& own_limits = ArrayOrEmpty(family, "own-limits");
   const std::size_t count = std::max({named_kinds, max_batches.size(), own_limits.size()});
   std::vector<dispatch_policy::KindSettings> kinds(count);
   for (std::size_t i = 0; i < max_batches.size(); ++i) kinds[i].max_batch = max_batches[i].Whole();
@@ -111,23 +111,23 @@
 }
 
 void ReadFamily(const Value& settings, Config& config) {
-  const Value& family = GroupOrNone(settings, "family-info");
+  const Value& family = ObjectOrEmpty(settings, "family-info");
   dispatch_policy::Settings& policy = config.policy_settings;
   policy.kinds = ReadKinds(family, config.kind_names.size());
   policy.zone_penalty = ReadZonePenalties(family, config.zone_names.size(), config.warnings);
   if (TextOr(family, "loses-worth", "line") == "halves") {
     policy.decay = dispatch_policy::Decay::kHalving;
   }
-  policy.max_concurrent_calls = WholeOr(family, "workers", 0);
+  policy.max_concurrent_calls = UnsignedOr(family, "workers", 0);
 }
 
 // ======== limits and rules ========
 
 void ReadPolicyLimits(const Value& settings, Config& config) {
-  const Value& limits = GroupOrNone(settings, "limits");
+  const Value& limits = ObjectOrEmpty(settings, "limits");
   dispatch_policy::Settings& policy = config.policy_settings;
-  policy.max_in_flight = WholeOr(limits, "open-cap", 0);
-  policy.max_attempts = WholeOr(limits, "max-attempts", 0);
+  policy.max_in_flight = UnsignedOr(limits, "open-cap", 0);
+  policy.max_attempts = UnsignedOr(limits, "max-attempts", 0);
   policy.health_checks_allowed = FlagOr(limits, "probes", false);
   policy.cancel_allowed = FlagOr(limits, "may-cancel", false);
   policy.clients_honor_retry_after = FlagOr(limits, "retry-after", false);
@@ -137,7 +137,7 @@
 }
 
 void ReadRules(const Value& settings, dispatch_policy::Settings& policy) {
-  const Value& rules = GroupOrNone(settings, "rules");
+  const Value& rules = ObjectOrEmpty(settings, "rules");
   policy.slow_start_share = NumberOr(rules, "cold-share", policy.slow_start_share);
   policy.slow_start_duration = TimeOr(rules, "cold", {});
   policy.collapse_load_multiple = NumberOr(rules, "fall-multiple", policy.collapse_load_multiple);
@@ -154,7 +154,7 @@
       NumberOr(settings, "over-share-worth", policy.over_quota_weight_share);
   policy.subscribe_to_endpoint_list = TextOr(settings, "discovery", "push") == "ask";
   policy.decision_interval = TimeOr(settings, "tick", kDefaultDecisionInterval);
-  policy.group_size = WholeOr(settings, "group-size", 1);
+  policy.group_size = UnsignedOr(settings, "group-size", 1);
 }
 
 void ReadSettings(const Value& settings, Config& config) {
@@ -179,7 +179,7 @@
      "over-share-worth", "discovery", "tick", "group-size"});
 
 // Records the hash of the value of each key of the object, and the keys that are unknown.
-void NoteKeys(const Value& object, const std::string& prefix, KeyNames known, Config& config) {
+void RecordKeys(const Value& object, const std::string& prefix, KeyNames known, Config& config) {
   const auto* const members = std::get_if<Value::Object>(&object.data());
   if (members == nullptr) return;
   for (const auto& [key, value] : *members) {
@@ -223,8 +223,8 @@
     config.known_endpoints = ReadMemberList(file.At("known"));
     config.known_endpoints.source = ListSource::kConfiguration;
     ReadSettings(file.At("settings"), config);
-    NoteKeys(file, "", kTopLevelKeys, config);
-    NoteKeys(file.At("settings"), "settings.", kSettingsKeys, config);
+    RecordKeys(file, "", kTopLevelKeys, config);
+    RecordKeys(file.At("settings"), "settings.", kSettingsKeys, config);
     config.value_hashes.erase("settings");  // the hashes of its keys are recorded individually
     return config;
   } catch (const json::Error& error) {
--- a/src/config/json_fields.cpp
+++ b/src/config/json_fields.cpp
@@ -6,47 +6,47 @@
 
 using json::Value;
 
-double NumberOr(const Value& object, std::string_view name, double absent) {
+double NumberOr(const Value& object, std::string_view name, double fallback) {
   const Value* field = object.Find(name);
-  return field == nullptr ? absent : field->Number();
+  return field == nullptr ? fallback : field->Number();
 }
 
-std::size_t WholeOr(const Value& object, std::string_view name, std::size_t absent) {
+std::size_t UnsignedOr(const Value& object, std::string_view name, std::size_t fallback) {
   const Value* field = object.Find(name);
-  return field == nullptr ? absent : field->Whole();
+  return field == nullptr ? fallback : field->Whole();
 }
 
 std::chrono::nanoseconds TimeOr(const Value& object, std::string_view name,
-                                std::chrono::nanoseconds absent) {
+                                std::chrono::nanoseconds fallback) {
   const Value* field = object.Find(name);
-  return field == nullptr ? absent : std::chrono::nanoseconds(field->Whole());
+  return field == nullptr ? fallback : std::chrono::nanoseconds(field->Whole());
 }
 
-bool FlagOr(const Value& object, std::string_view name, bool absent) {
+bool FlagOr(const Value& object, std::string_view name, bool fallback) {
   const Value* field = object.Find(name);
-  return field == nullptr ? absent : field->Flag();
+  return field == nullptr ? fallback : field->Flag();
 }
 
-std::string TextOr(const Value& object, std::string_view name, std::string_view absent) {
+std::string TextOr(const Value& object, std::string_view name, std::string_view fallback) {
   const Value* field = object.Find(name);
-  return field == nullptr ? std::string(absent) : field->Text();
+  return field == nullptr ? std::string(fallback) : field->Text();
 }
 
-const Value::Array& ItemsOrNone(const Value& object, std::string_view name) {
-  static const Value::Array kNone;
+const Value::Array& ArrayOrEmpty(const Value& object, std::string_view name) {
+  static const Value::Array kEmpty;
   const Value* field = object.Find(name);
-  return field == nullptr ? kNone : field->Items();
+  return field == nullptr ? kEmpty : field->Items();
 }
 
-const Value& GroupOrNone(const Value& object, std::string_view name) {
-  static const Value kNone;
+const Value& ObjectOrEmpty(const Value& object, std::string_view name) {
+  static const Value kEmpty;
   const Value* field = object.Find(name);
-  return field == nullptr ? kNone : *field;
+  return field == nullptr ? kEmpty : *field;
 }
 
 namespace {
 
-std::size_t Combine(std::size_t hash, std::size_t more) { return hash * 1'000'003 ^ more; }
+std::size_t Combine(std::size_t hash, std::size_t value) { return hash * 1'000'003 ^ value; }
 
 struct ValueHasher {
   std::size_t operator()(std::monostate) const { return 1; }
--- a/src/config/json_fields.hpp
+++ b/src/config/json_fields.hpp
@@ -12,19 +12,19 @@
 
 namespace brassfront {
 
-double NumberOr(const json::Value& object, std::string_view name, double absent);
+double NumberOr(const json::Value& object, std::string_view name, double fallback);
 // Reads an integer of 0 or more.
-std::size_t WholeOr(const json::Value& object, std::string_view name, std::size_t absent);
+std::size_t UnsignedOr(const json::Value& object, std::string_view name, std::size_t fallback);
 // Reads a time in integer nanoseconds.
 std::chrono::nanoseconds TimeOr(const json::Value& object, std::string_view name,
-                                std::chrono::nanoseconds absent);
-bool FlagOr(const json::Value& object, std::string_view name, bool absent);
-std::string TextOr(const json::Value& object, std::string_view name, std::string_view absent);
+                                std::chrono::nanoseconds fallback);
+bool FlagOr(const json::Value& object, std::string_view name, bool fallback);
+std::string TextOr(const json::Value& object, std::string_view name, std::string_view fallback);
 // Returns an empty list if the field is absent. The reference is valid as long as `object`.
-const json::Value::Array& ItemsOrNone(const json::Value& object, std::string_view name);
+const json::Value::Array& ArrayOrEmpty(const json::Value& object, std::string_view name);
 // Returns an empty value, which has no fields, if the field is absent. The reference is valid as
 // long as `object`.
-const json::Value& GroupOrNone(const json::Value& object, std::string_view name);
+const json::Value& ObjectOrEmpty(const json::Value& object, std::string_view name);
 
 // Equal values have equal hashes, regardless of their formatting in the JSON text.
 [[nodiscard]] std::size_t HashValue(const json::Value& value);
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -19,7 +19,7 @@
 namespace brassfront::observe {
 namespace {
 
-constexpr std::array<const char*, kConcerns> kConcernNames = {
+constexpr std::array<const char*, kConcernCount> kConcernNames = {
     "service", "engine", "client", "endpoint", "platform", "spool", "policy", "zones", "fleet"};
 constexpr std::array<const char*, 5> kLevelNames = {"debug", "info", "warning", "error", "off"};
 
@@ -40,19 +40,19 @@
 }
 
 // How much of a line was written.
-enum class Written { kWhole, kPart, kNothing };
+enum class WriteResult { kComplete, kPartial, kNone };
 
-Written WriteLine(int fd, std::string_view line) {
+WriteResult WriteLine(int fd, std::string_view line) {
   pollfd room{fd, POLLOUT, 0};
-  if (poll(&room, 1, 0) <= 0) return Written::kNothing;
+  if (poll(&room, 1, 0) <= 0) return WriteResult::kNone;
   const std::size_t length = line.size();
   while (!line.empty()) {
     const ssize_t n = write(fd, line.data(), line.size());
     if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) return line.size() == length ? Written::kNothing : Written::kPart;
+    if (n <= 0) return line.size() == length ? WriteResult::kNone : WriteResult::kPartial;
     line.remove_prefix(static_cast<std::size_t>(n));
   }
-  return Written::kWhole;
+  return WriteResult::kComplete;
 }
 
 LineTime LineTimeNow() {
@@ -74,10 +74,10 @@
  protected:
   void sink_it_(const spdlog::details::log_msg& message) override {
     if (dropped_ > 0) {
-      const std::string told =
+      const std::string dropped_notice =
           FormatLine(format_, LineTimeNow(), Concern::kService, Level::kWarning,
                      "log lines dropped", {{"count", dropped_}});
-      if (Put(told)) dropped_ = 0;
+      if (Put(dropped_notice)) dropped_ = 0;
     }
     const std::string_view line(message.payload.data(), message.payload.size());
     if (dropped_ > 0 || !Put(line)) ++dropped_;
@@ -89,45 +89,45 @@
 
   // Returns false if the line could not be written completely.
   bool Put(std::string_view text) {
-    std::string line = torn_ ? "\n" : "";
+    std::string line = has_partial_line_ ? "\n" : "";
     line += text;
     if (line.size() >= kMaxLine) line.resize(kMaxLine - 1);
     line += '\n';
-    const Written written = WriteLine(fd_, line);
-    if (written != Written::kNothing) torn_ = written == Written::kPart;
-    return written == Written::kWhole;
+    const WriteResult written = WriteLine(fd_, line);
+    if (written != WriteResult::kNone) has_partial_line_ = written == WriteResult::kPartial;
+    return written == WriteResult::kComplete;
   }
 
   const int fd_;
   const Format format_;
   std::uint64_t dropped_ = 0;
-  bool torn_ = false;  // the last line was only partly written
+  bool has_partial_line_ = false;  // the last line was only partly written
 };
 
 struct Loggers {
   explicit Loggers(const LogOptions& options)
       : format(options.format), repeats(options.max_repeats) {
     const auto sink = std::make_shared<DescriptorSink>(options.descriptor, options.format);
-    for (std::size_t i = 0; i < kConcerns; ++i) {
+    for (std::size_t i = 0; i < kConcernCount; ++i) {
       by_concern[i] = std::make_unique<spdlog::logger>(kConcernNames[i], sink);
       by_concern[i]->set_level(SpdlogLevel(options.level));
     }
   }
 
   const Format format;
-  std::array<std::unique_ptr<spdlog::logger>, kConcerns> by_concern;
+  std::array<std::unique_ptr<spdlog::logger>, kConcernCount> by_concern;
   std::mutex mutex;  // guards `repeats`
   RepeatLimiter repeats;
 };
 
 // Never destroyed: threads may log while the process exits.
-Loggers*& Current() {
+Loggers*& CurrentLoggers() {
   static auto* current = new Loggers(LogOptions{});
   return current;
 }
 
-spdlog::logger& Of(Concern concern) {
-  return *Current()->by_concern[static_cast<std::size_t>(concern)];
+spdlog::logger& LoggerOf(Concern concern) {
+  return *CurrentLoggers()->by_concern[static_cast<std::size_t>(concern)];
 }
 
 void AppendHex(std::string& out, unsigned char c) {
@@ -174,15 +174,15 @@
     } else {
       for (const char c : *text) out += c == '\n' || c == '\r' ? ' ' : c;
     }
-  } else if (const auto* whole = std::get_if<std::int64_t>(&value)) {
-    out += std::to_string(*whole);
+  } else if (const auto* signed_number = std::get_if<std::int64_t>(&value)) {
+    out += std::to_string(*signed_number);
   } else {
     out += std::to_string(std::get<std::uint64_t>(value));
   }
 }
 
 // Formats a Unix time in milliseconds as RFC 3339 in UTC.
-std::string TimeText(std::int64_t ms) {
+std::string FormatTime(std::int64_t ms) {
   const auto seconds = static_cast<std::time_t>(ms / 1000);
   std::tm parts{};
   gmtime_r(&seconds, &parts);
@@ -195,7 +195,7 @@
 
 void Write(Concern concern, Level level, std::string_view event, Fields fields,
            std::uint64_t repeats) {
-  const Format format = Current()->format;
+  const Format format = CurrentLoggers()->format;
   std::string line = FormatLine(format, LineTimeNow(), concern, level, event, fields);
   if (repeats > 0) {
     if (format == Format::kJson) {
@@ -205,7 +205,7 @@
       line += " repeats=" + std::to_string(repeats);
     }
   }
-  Of(concern).log(SpdlogLevel(level), spdlog::string_view_t(line.data(), line.size()));
+  LoggerOf(concern).log(SpdlogLevel(level), spdlog::string_view_t(line.data(), line.size()));
 }
 
 }  // namespace
@@ -213,10 +213,12 @@
 void SetUpLog(const LogOptions& options) {
   static std::mutex mutex;
   const std::lock_guard lock(mutex);
-  delete std::exchange(Current(), new Loggers(options));
+  delete std::exchange(CurrentLoggers(), new Loggers(options));
 }
 
-bool ShouldLog(Concern concern, Level level) { return Of(concern).should_log(SpdlogLevel(level)); }
+bool ShouldLog(Concern concern, Level level) {
+  return LoggerOf(concern).should_log(SpdlogLevel(level));
+}
 
 void Log(Concern concern, Level level, std::string_view event, Fields fields) {
   if (ShouldLog(concern, level)) Write(concern, level, event, fields, 0);
@@ -224,13 +226,13 @@
 
 void LogRateLimited(Concern concern, Level level, std::string_view event, Fields fields) {
   if (!ShouldLog(concern, level)) return;
-  std::optional<std::uint64_t> left_out;
+  std::optional<std::uint64_t> suppressed;
   {
-    Loggers& loggers = *Current();
+    Loggers& loggers = *CurrentLoggers();
     const std::lock_guard lock(loggers.mutex);
-    left_out = loggers.repeats.Admit(event, std::chrono::steady_clock::now().time_since_epoch());
+    suppressed = loggers.repeats.Admit(event, std::chrono::steady_clock::now().time_since_epoch());
   }
-  if (left_out) Write(concern, level, event, fields, *left_out);
+  if (suppressed) Write(concern, level, event, fields, *suppressed);
 }
 
 bool ParseFormat(std::string_view name, Format& format) {
@@ -258,14 +260,14 @@
   const char* level_name = kLevelNames[static_cast<std::size_t>(level)];
   std::string line;
   if (format == Format::kText) {
-    line.append(TimeText(time.unix_ms)).append(" +").append(std::to_string(time.uptime_ms));
+    line.append(FormatTime(time.unix_ms)).append(" +").append(std::to_string(time.uptime_ms));
     line.append("ms ").append(event);
   } else if (format == Format::kLogfmt) {
-    line.append("ts=").append(TimeText(time.unix_ms)).append(" level=").append(level_name);
+    line.append("ts=").append(FormatTime(time.unix_ms)).append(" level=").append(level_name);
     line.append(" concern=").append(concern_name).append(" event=");
     AppendValue(line, format, event);
   } else {
-    line.append(R"({"ts":")").append(TimeText(time.unix_ms)).append(R"(","level":")");
+    line.append(R"({"ts":")").append(FormatTime(time.unix_ms)).append(R"(","level":")");
     line.append(level_name).append(R"(","concern":")").append(concern_name);
     line.append(R"(","event":)");
     AppendValue(line, format, event);
--- a/src/observe/log.hpp
+++ b/src/observe/log.hpp
@@ -34,21 +34,21 @@
   kZones,
   kFleet
 };
-inline constexpr std::size_t kConcerns = 9;
+inline constexpr std::size_t kConcernCount = 9;
 
 struct Field {
   using Value = std::variant<std::string_view, std::int64_t, std::uint64_t>;
 
-  Field(std::string_view its_name, std::string_view text) : name(its_name), value(text) {}
-  Field(std::string_view its_name, const char* text) : name(its_name), value(text) {}
-  Field(std::string_view its_name, const std::string& text)
-      : name(its_name), value(std::string_view(text)) {}
+  Field(std::string_view field_name, std::string_view text) : name(field_name), value(text) {}
+  Field(std::string_view field_name, const char* text) : name(field_name), value(text) {}
+  Field(std::string_view field_name, const std::string& text)
+      : name(field_name), value(std::string_view(text)) {}
   template <std::signed_integral T>
-  Field(std::string_view its_name, T number)
-      : name(its_name), value(static_cast<std::int64_t>(number)) {}
+  Field(std::string_view field_name, T number)
+      : name(field_name), value(static_cast<std::int64_t>(number)) {}
   template <std::unsigned_integral T>
-  Field(std::string_view its_name, T number)
-      : name(its_name), value(static_cast<std::uint64_t>(number)) {}
+  Field(std::string_view field_name, T number)
+      : name(field_name), value(static_cast<std::uint64_t>(number)) {}
 
   std::string_view name;
   Value value;
--- a/src/observe/repeats.hpp
+++ b/src/observe/repeats.hpp
@@ -17,42 +17,42 @@
  public:
   using Time = std::chrono::nanoseconds;
 
-  explicit RepeatLimiter(std::size_t most) : most_(most) {}
+  explicit RepeatLimiter(std::size_t max_per_window) : max_per_window_(max_per_window) {}
 
   // Returns nullopt if the event must be suppressed; otherwise the number of events that were
   // suppressed since the last admitted one.
   std::optional<std::uint64_t> Admit(std::string_view name, Time now) {
-    auto it = seen_.find(name);
-    if (it == seen_.end()) {
+    auto it = events_.find(name);
+    if (it == events_.end()) {
       // Names are literals in the code. The limit bounds memory if one is generated at run time.
-      if (seen_.size() >= kMaxNames) return 0;
-      it = seen_.emplace(std::string(name), Seen{.from = now}).first;
+      if (events_.size() >= kMaxNames) return 0;
+      it = events_.emplace(std::string(name), EventState{.window_start = now}).first;
     }
-    Seen& seen = it->second;
-    if (now - seen.from >= kWindow) {
-      seen.from = now;
-      seen.told = 0;
+    EventState& state = it->second;
+    if (now - state.window_start >= kWindow) {
+      state.window_start = now;
+      state.admitted = 0;
     }
-    if (seen.told >= most_) {
-      ++seen.left_out;
+    if (state.admitted >= max_per_window_) {
+      ++state.suppressed;
       return std::nullopt;
     }
-    ++seen.told;
-    return std::exchange(seen.left_out, 0);
+    ++state.admitted;
+    return std::exchange(state.suppressed, 0);
   }
 
  private:
   static constexpr Time kWindow = std::chrono::seconds(1);
   static constexpr std::size_t kMaxNames = 256;
 
-  struct Seen {
-    Time from{};
-    std::size_t told = 0;  // in the window
-    std::uint64_t left_out = 0;
+  struct EventState {
+    Time window_start{};
+    std::size_t admitted = 0;  // in the window
+    std::uint64_t suppressed = 0;
   };
 
-  const std::size_t most_;
-  std::map<std::string, Seen, std::less<>> seen_;
+  const std::size_t max_per_window_;
+  std::map<std::string, EventState, std::less<>> events_;
 };
 
 }  // namespace brassfront::observe
--- a/src/snapshot/condition_store.cpp
+++ b/src/snapshot/condition_store.cpp
@@ -103,10 +103,10 @@
   };
   const ConditionKey oldest = std::ranges::min_element(entries_, is_older)->first;
   Erase(oldest);
-  NoteMissing();
+  MarkIncomplete();
 }
 
-void ConditionStore::NoteMissing() {
+void ConditionStore::MarkIncomplete() {
   observe::Count("conditions_not_stored_total");
   if (!file_.is_open() || !header_.is_complete) return;
   header_.is_complete = false;
@@ -190,7 +190,7 @@
   if (is_new) entry.slot = TakeFreeSlot();
   if (!entry.slot) {
     ++unstored_;
-    return NoteMissing();
+    return MarkIncomplete();
   }
   const std::string encoded = Encode(entry.record);
   std::ranges::copy(encoded, SlotBytes(*entry.slot).begin());
--- a/src/snapshot/condition_store.hpp
+++ b/src/snapshot/condition_store.hpp
@@ -62,7 +62,7 @@
   };
 
   void EvictOldest(Time now);
-  void NoteMissing();
+  void MarkIncomplete();
   void Open(Time now);
   [[nodiscard]] std::optional<std::uint64_t> ReadSlots(Time now);
   [[nodiscard]] std::optional<std::uint64_t> TakeOverHeader();
--- a/src/spool/spool.cpp
+++ b/src/spool/spool.cpp
@@ -15,8 +15,8 @@
 using spool::kFileHeader;
 constexpr const char* kFileName = "/spool";
 constexpr const char* kCompactedFileName = "/spool.new";
-constexpr const char* kKeptFileName = "/spool.cut";
-constexpr std::size_t kMaxKeptBytes = std::size_t{64} * 1024;
+constexpr const char* kDamagedBytesFileName = "/spool.cut";
+constexpr std::size_t kMaxSavedDamageBytes = std::size_t{64} * 1024;
 constexpr std::size_t kBlockBytes = 512;  // file sizes count towards the disk limit in whole blocks
 constexpr std::size_t kMaxEndpointBytes = 256;
 // The endpoint of an attempt whose record was lost.
@@ -78,7 +78,7 @@
 }
 
 // Called before any file in the folder is accessed.
-bool Spool::OwnsFolder() {
+bool Spool::AcquireFolder() {
   const FileLock::Outcome outcome = owner_->Acquire();
   if (FolderOwner::IsOwned(outcome)) return true;
   const std::string why =
@@ -92,7 +92,7 @@
 // Opens and reads the file, and discards the state of an earlier failed attempt. Writes only what
 // Prepare writes.
 void Spool::Open() {
-  if (!OwnsFolder()) return;
+  if (!AcquireFolder()) return;
   std::remove((folder_ + kCompactedFileName).c_str());  // left by an interrupted compaction
   open_messages_.clear();
   unrecovered_.clear();
@@ -127,9 +127,9 @@
   if (!is_available()) return std::nullopt;
   bool readable = true;
   const Spool stored = OpenToRead(folder_, [&](const std::string&) { readable = false; });
-  const std::size_t left_out = pending_ends_.size() + unrecovered_.size();
-  if (!readable || stored.open_messages() < left_out) return std::nullopt;
-  return stored.open_messages() - left_out;
+  const std::size_t excluded = pending_finishes_.size() + unrecovered_.size();
+  if (!readable || stored.open_messages() < excluded) return std::nullopt;
+  return stored.open_messages() - excluded;
 }
 
 std::vector<RecoveredMessage> Spool::Recover() {
@@ -206,7 +206,7 @@
 void Spool::Finish(SpoolId number) {
   if (open_messages_.count(number) == 0) return;
   if (Append(spool::MessageFinished{number}, Space::kReserved)) return;
-  pending_ends_.insert(number);
+  pending_finishes_.insert(number);
   report_("spool: the end of a message could not be recorded yet");
 }
 
@@ -221,8 +221,9 @@
   const auto stored_bytes = file_.Size();
   if (!stored_bytes) return false;
   stored_bytes_ = *stored_bytes;
-  const File kept = File::OpenToRead(folder_ + kKeptFileName);
-  kept_bytes_ = kept.is_open() ? kept.Size().value_or(kMaxKeptBytes) : 0;
+  const File damage_file = File::OpenToRead(folder_ + kDamagedBytesFileName);
+  saved_damage_bytes_ =
+      damage_file.is_open() ? damage_file.Size().value_or(kMaxSavedDamageBytes) : 0;
   const std::size_t header_bytes = std::min(stored_bytes_, kFileHeader.size());
   const auto header = file_.Read(0, header_bytes);
   if (!header) return false;
@@ -357,7 +358,7 @@
 
 // Saves the damaged bytes to a separate file, and truncates the spool after its last intact record.
 bool Spool::RemoveDamage() {
-  if (!damaged_.empty() && !KeepDamaged()) return false;
+  if (!damaged_.empty() && !SaveDamagedBytes()) return false;
   damaged_.clear();
   if (stored_bytes_ > file_bytes_ && !file_.Truncate(file_bytes_)) return false;
   stored_bytes_ = 0;
@@ -367,21 +368,22 @@
 // Saves the first bytes of the damaged parts to a separate file for inspection, after those that
 // this process has already saved. Returns false if they can't be read or written now, and is then
 // called again later. If the disk is full, they are discarded and the result is true.
-bool Spool::KeepDamaged() {
-  const std::size_t begin = has_kept_ ? std::min(kept_bytes_, kMaxKeptBytes) : 0;
-  std::string kept_text;
+bool Spool::SaveDamagedBytes() {
+  const std::size_t begin =
+      has_saved_damage_ ? std::min(saved_damage_bytes_, kMaxSavedDamageBytes) : 0;
+  std::string saved_bytes;
   for (const Extent& extent : damaged_) {
-    const auto bytes =
-        file_.Read(extent.offset, std::min(extent.bytes, kMaxKeptBytes - begin - kept_text.size()));
+    const auto bytes = file_.Read(
+        extent.offset, std::min(extent.bytes, kMaxSavedDamageBytes - begin - saved_bytes.size()));
     if (!bytes && errno != 0) return false;
-    if (bytes) kept_text += *bytes;
+    if (bytes) saved_bytes += *bytes;
   }
-  const std::string path = folder_ + kKeptFileName;
-  File kept = has_kept_ ? File::Open(path) : File::OpenEmpty(path);
-  if (!kept.is_open()) return false;
-  if (!kept.Write(begin, kept_text)) return errno == ENOSPC || errno == EDQUOT;
-  kept_bytes_ = begin + kept_text.size();
-  has_kept_ = true;
+  const std::string path = folder_ + kDamagedBytesFileName;
+  File damage_file = has_saved_damage_ ? File::Open(path) : File::OpenEmpty(path);
+  if (!damage_file.is_open()) return false;
+  if (!damage_file.Write(begin, saved_bytes)) return errno == ENOSPC || errno == EDQUOT;
+  saved_damage_bytes_ = begin + saved_bytes.size();
+  has_saved_damage_ = true;
   return true;
 }
 
@@ -410,10 +412,10 @@
     if (!Write(spool::MessageGivenUp{number, give_up}, Space::kReserved)) return false;
     pending_give_ups_.erase(number);
   }
-  while (!pending_ends_.empty()) {
-    const SpoolId number = *pending_ends_.begin();
+  while (!pending_finishes_.empty()) {
+    const SpoolId number = *pending_finishes_.begin();
     if (!Write(spool::MessageFinished{number}, Space::kReserved)) return false;
-    pending_ends_.erase(number);
+    pending_finishes_.erase(number);
   }
   return true;
 }
@@ -441,7 +443,8 @@
 // Returns whether the file and its compacted copy fit within the disk limit at the same time.
 bool Spool::Fits(std::size_t additional_bytes) const {
   return RoundUpToBlocks(file_bytes_ + additional_bytes) +
-             RoundUpToBlocks(compacted_bytes_ + additional_bytes) + RoundUpToBlocks(kept_bytes_) <=
+             RoundUpToBlocks(compacted_bytes_ + additional_bytes) +
+             RoundUpToBlocks(saved_damage_bytes_) <=
          disk_bytes_;
 }
 
--- a/src/spool/spool.hpp
+++ b/src/spool/spool.hpp
@@ -124,7 +124,7 @@
   [[nodiscard]] static std::string EncodeProgress(SpoolId number, const OpenMessage& open);
 
   // ---- reading ----
-  [[nodiscard]] bool OwnsFolder();
+  [[nodiscard]] bool AcquireFolder();
   void Open();
   [[nodiscard]] bool Load();
   [[nodiscard]] bool LoadRecords(std::size_t begin);
@@ -143,7 +143,7 @@
   // ---- writing ----
   [[nodiscard]] bool Prepare();
   [[nodiscard]] bool RemoveDamage();
-  [[nodiscard]] bool KeepDamaged();
+  [[nodiscard]] bool SaveDamagedBytes();
   [[nodiscard]] bool RecordLostAttempts();
   [[nodiscard]] bool FlushPending();
   template <typename Record>
@@ -161,19 +161,19 @@
   const Report report_;
   bool reported_ = false;  // the reason why the spool is unavailable has been reported
   File file_;
-  std::size_t file_bytes_ = 0;      // up to the end of the last intact record
-  std::size_t stored_bytes_ = 0;    // file size when read; the file is truncated to file_bytes_
-  std::vector<Extent> damaged_;     // not yet saved to the separate file
-  bool compaction_is_due_ = false;  // to remove damage between records
-  std::size_t kept_bytes_ = 0;      // size of the separate file with damaged bytes
-  bool has_kept_ = false;           // this process has written that file
+  std::size_t file_bytes_ = 0;          // up to the end of the last intact record
+  std::size_t stored_bytes_ = 0;        // file size when read; the file is truncated to file_bytes_
+  std::vector<Extent> damaged_;         // not yet saved to the separate file
+  bool compaction_is_due_ = false;      // to remove damage between records
+  std::size_t saved_damage_bytes_ = 0;  // size of the separate file with damaged bytes
+  bool has_saved_damage_ = false;       // this process has written that file
   bool header_is_due_ = false;
   bool anchor_is_due_ = false;
   SpoolClock clock_;
   std::optional<spool::ClockAnchor> stored_anchor_;
   UnixMs latest_time_{};  // latest time in any record
   std::map<SpoolId, SpooledGiveUp> pending_give_ups_;
-  std::set<SpoolId> pending_ends_;
+  std::set<SpoolId> pending_finishes_;
   std::vector<PendingNotRun> pending_not_run_;
   std::set<SpoolId> unrecovered_;          // not yet returned by Recover
   std::size_t compacted_bytes_ = 0;        // size of the file if it were compacted now
--- a/src/spool/spool_reader.cpp
+++ b/src/spool/spool_reader.cpp
@@ -56,9 +56,9 @@
     return probe.record.has_value();
   };
   if (const auto header = ReadFrame(next_)) {
-    const std::size_t behind = next_ + kFrameBytes + header->payload_bytes;
-    if (behind == end_) return std::nullopt;
-    if (behind < end_ && is_record(behind)) return behind;
+    const std::size_t following = next_ + kFrameBytes + header->payload_bytes;
+    if (following == end_) return std::nullopt;
+    if (following < end_ && is_record(following)) return following;
   }
   for (std::size_t begin = next_ + 1; !failed_ && begin + kProbeBytes <= end_;) {
     const auto block = file_.Read(begin, std::min(kSearchBlockBytes, end_ - begin));
--- a/src/system/error_class.cpp
+++ b/src/system/error_class.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // A resource of the machine is exhausted, or the call was interrupted.
-bool IsShortage(int error) {
+bool IsResourceShortage(int error) {
   switch (error) {
     case EINTR:
     case EAGAIN:
@@ -27,22 +27,23 @@
 }
 
 ErrorClass ClassifyAccept(int error) {
-  if (IsShortage(error)) return ErrorClass::kTransient;
+  if (IsResourceShortage(error)) return ErrorClass::kTransient;
   // accept(2) on Linux also returns pending errors of the new connection.
-  const bool of_connection = IsNetworkDown(error) || error == ECONNABORTED || error == EPROTO ||
-                             error == ENOPROTOOPT || error == EOPNOTSUPP || error == EPERM ||
-                             error == ETIMEDOUT || error == ECONNRESET;
-  return of_connection ? ErrorClass::kPeer : ErrorClass::kFatal;
+  const bool is_connection_error = IsNetworkDown(error) || error == ECONNABORTED ||
+                                   error == EPROTO || error == ENOPROTOOPT || error == EOPNOTSUPP ||
+                                   error == EPERM || error == ETIMEDOUT || error == ECONNRESET;
+  return is_connection_error ? ErrorClass::kPeer : ErrorClass::kFatal;
 }
 
 ErrorClass ClassifyBind(int error) {
-  const bool may_pass = IsShortage(error) || error == EADDRINUSE || error == EADDRNOTAVAIL;
-  return may_pass ? ErrorClass::kTransient : ErrorClass::kFatal;
+  const bool is_temporary =
+      IsResourceShortage(error) || error == EADDRINUSE || error == EADDRNOTAVAIL;
+  return is_temporary ? ErrorClass::kTransient : ErrorClass::kFatal;
 }
 
 ErrorClass ClassifyConnect(int error) {
   // For connect(2), EAGAIN and EADDRNOTAVAIL mean that all local ports are in use.
-  const bool local = (IsShortage(error) && error != EAGAIN) || error == EADDRNOTAVAIL ||
+  const bool local = (IsResourceShortage(error) && error != EAGAIN) || error == EADDRNOTAVAIL ||
                      error == EADDRINUSE || error == ENETUNREACH || error == ENETDOWN;
   return local ? ErrorClass::kTransient : ErrorClass::kPeer;
 }
@@ -61,7 +62,7 @@
     case EBUSY:
       return ErrorClass::kTransient;
     default:
-      return IsShortage(error) ? ErrorClass::kTransient : ErrorClass::kFatal;
+      return IsResourceShortage(error) ? ErrorClass::kTransient : ErrorClass::kFatal;
   }
 }
 
@@ -79,12 +80,13 @@
       return ClassifyStorage(error);
     case SystemCall::kOpenDescriptor:
     case SystemCall::kStartThread:
-      return IsShortage(error) ? ErrorClass::kTransient : ErrorClass::kFatal;
+      return IsResourceShortage(error) ? ErrorClass::kTransient : ErrorClass::kFatal;
     case SystemCall::kPoll:
-      return IsShortage(error) || error == ENOSPC ? ErrorClass::kTransient : ErrorClass::kFatal;
+      return IsResourceShortage(error) || error == ENOSPC ? ErrorClass::kTransient
+                                                          : ErrorClass::kFatal;
     case SystemCall::kReceive:
     case SystemCall::kSend:
-      return IsShortage(error) ? ErrorClass::kTransient : ErrorClass::kPeer;
+      return IsResourceShortage(error) ? ErrorClass::kTransient : ErrorClass::kPeer;
   }
   return ErrorClass::kFatal;
 }
--- a/tests/spool/salvage_test.cpp
+++ b/tests/spool/salvage_test.cpp
@@ -20,7 +20,7 @@
 
 namespace fs = std::filesystem;
 
-constexpr std::size_t kDisk = 3'000'000;
+constexpr std::size_t kDiskBytes = 3'000'000;
 constexpr std::size_t kHeaderBytes = 8;
 constexpr const char* kHeader = "BRSPOOL1";
 
@@ -90,7 +90,7 @@
   return damaged;
 }
 
-bool IsHit(const StoredRecord& record, const Places& places) {
+bool OverlapsAny(const StoredRecord& record, const Places& places) {
   return std::any_of(places.begin(), places.end(), [&](const auto& place) {
     return place.first < record.offset + record.bytes && record.offset < place.second;
   });
@@ -107,13 +107,13 @@
   void Write(const std::string& bytes) const {
     std::ofstream(path_ + "/spool", std::ios::binary) << bytes;
   }
-  std::string Kept() const {
+  std::string SavedDamage() const {
     std::ifstream in(path_ + "/spool.cut", std::ios::binary);
     return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
   }
   std::vector<RecoveredMessage> Recover(std::vector<std::string>* reports = nullptr) const {
     FolderOwner owner(path_);
-    Spool spool(owner, kDisk, [&](const std::string& text) {
+    Spool spool(owner, kDiskBytes, [&](const std::string& text) {
       if (reports != nullptr) reports->push_back(text);
     });
     return spool.Recover();
@@ -128,7 +128,7 @@
                      [](const SpooledAttempt& attempt) { return !attempt.known_not_run; });
 }
 
-bool IsNamed(std::size_t offset, const std::vector<std::string>& reports) {
+bool IsReported(std::size_t offset, const std::vector<std::string>& reports) {
   const std::string place = "at offset " + std::to_string(offset);
   return std::any_of(reports.begin(), reports.end(), [&](const std::string& report) {
     const std::size_t found = report.find(place);
@@ -144,11 +144,11 @@
     const Places places = Damage(file.bytes, random, 1 + static_cast<int>(seed % 5));
     std::set<SpoolId> expected;
     std::set<SpoolId> accepted_before_a_gap;
-    std::set<SpoolId> named;  // offsets of the first record of each gap
+    std::set<SpoolId> gap_offsets;  // offsets of the first record of each gap
     bool in_gap = false;
     for (const StoredRecord& record : file.records) {
-      if (IsHit(record, places)) {
-        if (!in_gap) named.insert(record.offset);
+      if (OverlapsAny(record, places)) {
+        if (!in_gap) gap_offsets.insert(record.offset);
         in_gap = true;
         accepted_before_a_gap.insert(expected.begin(), expected.end());
         continue;
@@ -172,20 +172,20 @@
       }
       CHECK(recovered == expected);
     }
-    for (const std::size_t offset : named) {
+    for (const std::size_t offset : gap_offsets) {
       CAPTURE(offset);
-      CHECK(IsNamed(offset, reports));
+      CHECK(IsReported(offset, reports));
     }
-    CHECK_FALSE(folder.Kept().empty());
+    CHECK_FALSE(folder.SavedDamage().empty());
   }
 }
 
 TEST_CASE("a damaged header loses no message") {
   std::mt19937 random(1);
   const StoredFile file = MakeFile(random);
-  const SpoolFolder whole;
-  whole.Write(file.bytes);
-  const std::size_t open = whole.Recover().size();
+  const SpoolFolder undamaged;
+  undamaged.Write(file.bytes);
+  const std::size_t open = undamaged.Recover().size();
   for (std::size_t at = 0; at < kHeaderBytes; ++at) {
     std::string bytes = file.bytes;
     bytes[at] = static_cast<char>(bytes[at] ^ 0x10);
@@ -222,15 +222,15 @@
   const std::string first = kHeader + AcceptedRecord(1, "b");
   const std::string message = AcceptedRecord(2, forged + "tail");
   const std::string after = AcceptedRecord(3, "b");
-  for (const std::string& behind : {std::string(), after}) {
+  for (const std::string& following : {std::string(), after}) {
     for (const std::size_t at : {spool::kFrameBytes + 5, message.size() - 1}) {
-      std::string bytes = first + message + behind;
+      std::string bytes = first + message + following;
       bytes[first.size() + at] = static_cast<char>(bytes[first.size() + at] ^ 0x01);
       const SpoolFolder folder;
       folder.Write(bytes);
       std::set<SpoolId> recovered;
       for (const RecoveredMessage& one : folder.Recover()) recovered.insert(one.spool_id);
-      CHECK(recovered == (behind.empty() ? std::set<SpoolId>{1} : std::set<SpoolId>{1, 3}));
+      CHECK(recovered == (following.empty() ? std::set<SpoolId>{1} : std::set<SpoolId>{1, 3}));
     }
   }
 }
