--- a/src/cli/zone_client.cpp
+++ b/src/cli/zone_client.cpp
@@ -120,7 +120,7 @@
     return PrintTransfer(words[0], nameserver::Transfer(ask, name, std::nullopt));
   }
   if (*type == dns::type::kIxfr) {
-    if (equals == std::string::npos) throw UsageError("IXFR=SERIAL names the serial to start from");
+    if (equals == std::string::npos) throw UsageError("IXFR needs a start serial: IXFR=SERIAL");
     Record have{name, dns::type::kSoa, dns::klass::kIn, 0, Name().wire() + Name().wire()};
     have.rdata.append(20, '\0');
     const auto serial = std::stoul(asked.substr(equals + 1));
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -34,7 +34,7 @@
   if (effect == "token") return dispatch_policy::Effect::kIdempotentWithKey;
   if (effect != "side_effect") {
     warnings.push_back("class " + TextOr(message_class, "name", "?") + ": effect '" + effect +
-                       "' is not pure, token or side_effect; it is never repeated");
+                       "' is not pure, token or side_effect; using side_effect");
   }
   return dispatch_policy::Effect::kNotIdempotent;
 }
@@ -104,7 +104,7 @@
   for (double& penalty : penalties) {
     if (penalty >= 0 && penalty <= 1) continue;
     warnings.push_back("family-info.toll " + std::to_string(penalty) +
-                       " is not from 0 to 1; 0 holds");
+                       " is not from 0 to 1; using 0");
     penalty = 0;
   }
   return penalties;
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -181,7 +181,7 @@
   }
 }
 
-// Formats a Unix time in milliseconds as RFC 3339 in UTC.
+// Formats a Unix time in milliseconds as RFC 3339 in UTC, with milliseconds.
 std::string FormatTime(std::int64_t ms) {
   const auto seconds = static_cast<std::time_t>(ms / 1000);
   std::tm parts{};
--- a/src/system/retry.hpp
+++ b/src/system/retry.hpp
@@ -9,9 +9,8 @@
 
 namespace brassfront {
 
-// Startup must complete within 10 s of the start of the process. Operations that fail during
-// startup are retried until this time after its begin, which all of them share; after that the
-// process ends.
+// Startup must complete within 10 s of the start of the process. All operations that are retried
+// during startup share this time limit, which begins with startup; after that the process ends.
 inline constexpr std::chrono::seconds kStartupRetryLimit{8};
 
 // The pause before a retry after a transient error.
