--- a/src/config/json_fields.cpp
+++ b/src/config/json_fields.cpp
@@ -13,18 +13,18 @@
 
 std::size_t UnsignedOr(const Value& object, std::string_view name, std::size_t fallback) {
   const Value* field = object.Find(name);
-  return field == nullptr ? fallback : field->Whole();
+  return field == nullptr ? fallback : field->UnsignedInteger();
 }
 
 std::chrono::nanoseconds TimeOr(const Value& object, std::string_view name,
                                 std::chrono::nanoseconds fallback) {
   const Value* field = object.Find(name);
-  return field == nullptr ? fallback : std::chrono::nanoseconds(field->Whole());
+  return field == nullptr ? fallback : std::chrono::nanoseconds(field->UnsignedInteger());
 }
 
 bool FlagOr(const Value& object, std::string_view name, bool fallback) {
   const Value* field = object.Find(name);
-  return field == nullptr ? fallback : field->Flag();
+  return field == nullptr ? fallback : field->Boolean();
 }
 
 std::string TextOr(const Value& object, std::string_view name, std::string_view fallback) {
