--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -51,7 +51,7 @@
   settings.dedup_window = TimeOr(message_class, "dedup-window", {});
   settings.priority_weight = NumberOr(message_class, "worth", settings.priority_weight);
   settings.late_weight_share = NumberOr(message_class, "late-worth", settings.late_weight_share);
-  settings.ordered = FlagOr(message_class, "sequential", settings.ordered);
+  settings.ordered = BooleanOr(message_class, "sequential", settings.ordered);
   return settings;
 }
 
@@ -119,7 +119,7 @@
   if (TextOr(family, "loses-worth", "line") == "halves") {
     policy.decay = dispatch_policy::Decay::kHalving;
   }
-  policy.max_concurrent_calls = UnsignedOr(family, "workers", 0);
+  policy.max_concurrent_calls = UnsignedIntegerOr(family, "workers", 0);
 }
 
 // ======== limits and rules ========
@@ -127,11 +127,11 @@
 void ReadPolicyLimits(const Value& settings, Config& config) {
   const Value& limits = ObjectOrEmpty(settings, "limits");
   dispatch_policy::Settings& policy = config.policy_settings;
-  policy.max_in_flight = UnsignedOr(limits, "open-cap", 0);
-  policy.max_attempts = UnsignedOr(limits, "max-attempts", 0);
-  policy.health_checks_allowed = FlagOr(limits, "probes", false);
-  policy.cancel_allowed = FlagOr(limits, "may-cancel", false);
-  policy.clients_honor_retry_after = FlagOr(limits, "retry-after", false);
+  policy.max_in_flight = UnsignedIntegerOr(limits, "open-cap", 0);
+  policy.max_attempts = UnsignedIntegerOr(limits, "max-attempts", 0);
+  policy.health_checks_allowed = BooleanOr(limits, "probes", false);
+  policy.cancel_allowed = BooleanOr(limits, "may-cancel", false);
+  policy.clients_honor_retry_after = BooleanOr(limits, "retry-after", false);
   policy.max_retry_after = TimeOr(limits, "max-retry-after", {});
   config.connection_idle_timeout = TimeOr(limits, "conn-idle", kDefaultConnectionIdle);
   config.connect_timeout = TimeOr(limits, "connect-timeout", kDefaultConnectTimeout);
@@ -155,7 +155,7 @@
       NumberOr(settings, "over-share-worth", policy.over_quota_weight_share);
   policy.subscribe_to_endpoint_list = TextOr(settings, "discovery", "push") == "ask";
   policy.decision_interval = TimeOr(settings, "tick", kDefaultDecisionInterval);
-  policy.group_size = UnsignedOr(settings, "group-size", 1);
+  policy.group_size = UnsignedIntegerOr(settings, "group-size", 1);
 }
 
 void ReadSettings(const Value& settings, Config& config) {
--- a/src/config/json_fields.cpp
+++ b/src/config/json_fields.cpp
@@ -11,7 +11,7 @@
   return field == nullptr ? fallback : field->Number();
 }
 
-std::size_t UnsignedOr(const Value& object, std::string_view name, std::size_t fallback) {
+std::size_t UnsignedIntegerOr(const Value& object, std::string_view name, std::size_t fallback) {
   const Value* field = object.Find(name);
   return field == nullptr ? fallback : field->UnsignedInteger();
 }
@@ -22,7 +22,7 @@
   return field == nullptr ? fallback : std::chrono::nanoseconds(field->UnsignedInteger());
 }
 
-bool FlagOr(const Value& object, std::string_view name, bool fallback) {
+bool BooleanOr(const Value& object, std::string_view name, bool fallback) {
   const Value* field = object.Find(name);
   return field == nullptr ? fallback : field->Boolean();
 }
--- a/src/config/json_fields.hpp
+++ b/src/config/json_fields.hpp
@@ -14,11 +14,12 @@
 
 double NumberOr(const json::Value& object, std::string_view name, double fallback);
 // Reads an integer of 0 or more.
-std::size_t UnsignedOr(const json::Value& object, std::string_view name, std::size_t fallback);
+std::size_t UnsignedIntegerOr(const json::Value& object, std::string_view name,
+                              std::size_t fallback);
 // Reads a time in integer nanoseconds.
 std::chrono::nanoseconds TimeOr(const json::Value& object, std::string_view name,
                                 std::chrono::nanoseconds fallback);
-bool FlagOr(const json::Value& object, std::string_view name, bool fallback);
+bool BooleanOr(const json::Value& object, std::string_view name, bool fallback);
 std::string TextOr(const json::Value& object, std::string_view name, std::string_view fallback);
 // Returns an empty list if the field is absent. The reference is valid as long as `object`.
 const json::Value::Array& ArrayOrEmpty(const json::Value& object, std::string_view name);
