--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -26,15 +26,15 @@
 
 // ======== classes, tenants, kinds, zones ========
 
-// An effect that is missing or unknown counts as not idempotent, which never runs a message twice;
-// a warning tells of it.
+// A missing or unknown effect counts as not idempotent, so that no message runs twice, and adds a
+// warning.
 dispatch_policy::Effect ReadEffect(const Value& message_class, std::vector<std::string>& warnings) {
   const std::string effect = TextOr(message_class, "effect", "");
   if (effect == "pure") return dispatch_policy::Effect::kIdempotent;
   if (effect == "token") return dispatch_policy::Effect::kIdempotentWithKey;
   if (effect != "side_effect") {
     warnings.push_back("class " + TextOr(message_class, "name", "?") + ": effect '" + effect +
-                       "' is not pure, token or side_effect; it is never repeated");
+                       "' is not pure, token or side_effect; using side_effect");
   }
   return dispatch_policy::Effect::kNotIdempotent;
 }
@@ -51,7 +51,7 @@
   settings.dedup_window = TimeOr(message_class, "dedup-window", {});
   settings.priority_weight = NumberOr(message_class, "worth", settings.priority_weight);
   settings.late_weight_share = NumberOr(message_class, "late-worth", settings.late_weight_share);
-  settings.ordered = FlagOr(message_class, "sequential", settings.ordered);
+  settings.ordered = BooleanOr(message_class, "sequential", settings.ordered);
   return settings;
 }
 
@@ -64,7 +64,7 @@
 }
 
 void ReadTenants(const Value& settings, Config& config) {
-  for (const Value& tenant : ItemsOrNone(settings, "realms")) {
+  for (const Value& tenant : ArrayOrEmpty(settings, "realms")) {
     config.policy_settings.tenants.push_back({NumberOr(tenant, "quota-rps", 0)});
     config.tenant_names.push_back(tenant.At("name").Text());
   }
@@ -72,14 +72,14 @@
 
 std::vector<std::string> ReadNames(const Value& settings, std::string_view field) {
   std::vector<std::string> names;
-  for (const Value& name : ItemsOrNone(settings, field)) names.push_back(name.Text());
+  for (const Value& name : ArrayOrEmpty(settings, field)) names.push_back(name.Text());
   return names;
 }
 
-// As many kinds as the longest of the lists tells of.
+// Returns as many kinds as the longest of the three lists has.
 std::vector<dispatch_policy::KindSettings> ReadKinds(const Value& family, std::size_t named_kinds) {
-  const Value::Array& max_batches = ItemsOrNone(family, "bundle-max");
-  const Value::Array& own_limits = ItemsOrNone(family, "own-limits");
+  const Value::Array& max_batches = ArrayOrEmpty(family, "bundle-max");
+  const Value::Array& own_limits = ArrayOrEmpty(family, "own-limits");
   const std::size_t count = std::max({named_kinds, max_batches.size(), own_limits.size()});
   std::vector<dispatch_policy::KindSettings> kinds(count);
   for (std::size_t i = 0; i < max_batches.size(); ++i)
@@ -90,8 +90,8 @@
   return kinds;
 }
 
-// One penalty for each zone, or one for all; one that is not from 0 to 1 counts as 0, and a warning
-// tells of it.
+// Reads a penalty per zone, or one penalty for all zones. A value that is not from 0 to 1 is
+// replaced with 0 and adds a warning.
 std::vector<double> ReadZonePenalties(const Value& family, std::size_t zones,
                                       std::vector<std::string>& warnings) {
   const Value* given = family.Find("toll");
@@ -105,40 +105,40 @@
   for (double& penalty : penalties) {
     if (penalty >= 0 && penalty <= 1) continue;
     warnings.push_back("family-info.toll " + std::to_string(penalty) +
-                       " is not from 0 to 1; 0 holds");
+                       " is not from 0 to 1; using 0");
     penalty = 0;
   }
   return penalties;
 }
 
 void ReadFamily(const Value& settings, Config& config) {
-  const Value& family = GroupOrNone(settings, "family-info");
+  const Value& family = ObjectOrEmpty(settings, "family-info");
   dispatch_policy::Settings& policy = config.policy_settings;
   policy.kinds = ReadKinds(family, config.kind_names.size());
   policy.zone_penalty = ReadZonePenalties(family, config.zone_names.size(), config.warnings);
   if (TextOr(family, "loses-worth", "line") == "halves") {
     policy.decay = dispatch_policy::Decay::kHalving;
   }
-  policy.max_concurrent_calls = WholeOr(family, "workers", 0);
+  policy.max_concurrent_calls = UnsignedIntegerOr(family, "workers", 0);
 }
 
 // ======== limits and rules ========
 
 void ReadPolicyLimits(const Value& settings, Config& config) {
-  const Value& limits = GroupOrNone(settings, "limits");
+  const Value& limits = ObjectOrEmpty(settings, "limits");
   dispatch_policy::Settings& policy = config.policy_settings;
-  policy.max_in_flight = WholeOr(limits, "open-cap", 0);
-  policy.max_attempts = WholeOr(limits, "max-attempts", 0);
-  policy.health_checks_allowed = FlagOr(limits, "probes", false);
-  policy.cancel_allowed = FlagOr(limits, "may-cancel", false);
-  policy.clients_honor_retry_after = FlagOr(limits, "retry-after", false);
+  policy.max_in_flight = UnsignedIntegerOr(limits, "open-cap", 0);
+  policy.max_attempts = UnsignedIntegerOr(limits, "max-attempts", 0);
+  policy.health_checks_allowed = BooleanOr(limits, "probes", false);
+  policy.cancel_allowed = BooleanOr(limits, "may-cancel", false);
+  policy.clients_honor_retry_after = BooleanOr(limits, "retry-after", false);
   policy.max_retry_after = TimeOr(limits, "max-retry-after", {});
-  config.connection_idle = TimeOr(limits, "conn-idle", kDefaultConnectionIdle);
+  config.connection_idle_timeout = TimeOr(limits, "conn-idle", kDefaultConnectionIdle);
   config.connect_timeout = TimeOr(limits, "connect-timeout", kDefaultConnectTimeout);
 }
 
 void ReadRules(const Value& settings, dispatch_policy::Settings& policy) {
-  const Value& rules = GroupOrNone(settings, "rules");
+  const Value& rules = ObjectOrEmpty(settings, "rules");
   policy.slow_start_share = NumberOr(rules, "cold-share", policy.slow_start_share);
   policy.slow_start_duration = TimeOr(rules, "cold", {});
   policy.collapse_load_multiple = NumberOr(rules, "fall-multiple", policy.collapse_load_multiple);
@@ -146,7 +146,7 @@
   policy.ordering_cooldown = TimeOr(rules, "settle-after-doubt", {});
 }
 
-// Those that stand in no group.
+// Reads the settings that are in no group.
 void ReadGeneral(const Value& settings, dispatch_policy::Settings& policy) {
   const std::string weights = TextOr(settings, "weight-source", "none");
   if (weights == "nominal") policy.weights = dispatch_policy::WeightMeaning::kRate;
@@ -155,7 +155,7 @@
       NumberOr(settings, "over-share-worth", policy.over_quota_weight_share);
   policy.subscribe_to_endpoint_list = TextOr(settings, "discovery", "push") == "ask";
   policy.decision_interval = TimeOr(settings, "tick", kDefaultDecisionInterval);
-  policy.group_size = WholeOr(settings, "group-size", 1);
+  policy.group_size = UnsignedIntegerOr(settings, "group-size", 1);
 }
 
 void ReadSettings(const Value& settings, Config& config) {
@@ -179,8 +179,8 @@
     {"classes", "realms", "shapes", "zones", "family-info", "limits", "rules", "weight-source",
      "over-share-worth", "discovery", "tick", "group-size"});
 
-// Notes the value of each key of the object, and which keys are not among the known ones.
-void NoteKeys(const Value& object, const std::string& prefix, KeyNames known, Config& config) {
+// Records the hash of the value of each key of the object, and the keys that are unknown.
+void RecordKeys(const Value& object, const std::string& prefix, KeyNames known, Config& config) {
   const auto* const members = std::get_if<Value::Object>(&object.data());
   if (members == nullptr) return;
   for (const auto& [key, value] : *members) {
@@ -221,12 +221,12 @@
     config.admin = TextOr(file, "admin", "");
     config.seed = ParseSeed(file.At("seed").Text());
     config.limits = ReadLimits(file.At("limits"));
-    config.known = ReadMemberList(file.At("known"));
-    config.known.source = ListSource::kConfiguration;
+    config.known_endpoints = ReadMemberList(file.At("known"));
+    config.known_endpoints.source = ListSource::kConfiguration;
     ReadSettings(file.At("settings"), config);
-    NoteKeys(file, "", kTopLevelKeys, config);
-    NoteKeys(file.At("settings"), "settings.", kSettingsKeys, config);
-    config.value_hashes.erase("settings");  // its keys are told one by one
+    RecordKeys(file, "", kTopLevelKeys, config);
+    RecordKeys(file.At("settings"), "settings.", kSettingsKeys, config);
+    config.value_hashes.erase("settings");  // the hashes of its keys are recorded individually
     return config;
   } catch (const json::Error& error) {
     throw ConfigError(error.what());
--- a/src/forwarder/engine.hpp
+++ b/src/forwarder/engine.hpp
@@ -69,7 +69,7 @@
   // Restores the messages that an earlier process had accepted, with the endpoints that are known
   // now. Clients may connect once this has returned.
   void Restore(const MemberList& known);
-  void Restore() { Restore(config_.known); }
+  void Restore() { Restore(config_.known_endpoints); }
   // Runs the loop until a shutdown is over. Calls `on_drain` when a shutdown begins.
   void Run(std::function<void()> on_drain);
   // Must be called after Run. Clients that wait in Submit are rejected, and no more messages are
--- a/src/system/error_class.cpp
+++ b/src/system/error_class.cpp
@@ -5,8 +5,8 @@
 namespace brassfront {
 namespace {
 
-// The machine has run out of something, or the call was interrupted.
-bool IsShortage(int error) {
+// A resource of the machine is exhausted, or the call was interrupted.
+bool IsResourceShortage(int error) {
   switch (error) {
     case EINTR:
     case EAGAIN:
@@ -20,29 +20,30 @@
   }
 }
 
-// The network is not there, here or on the way.
+// The local network or a part of the route to the peer is unavailable.
 bool IsNetworkDown(int error) {
   return error == ENETDOWN || error == ENETUNREACH || error == EHOSTUNREACH || error == EHOSTDOWN ||
          error == ENONET;
 }
 
 ErrorClass ClassifyAccept(int error) {
-  if (IsShortage(error)) return ErrorClass::kTransient;
-  // Linux passes on errors of the connection that was about to be accepted.
-  const bool of_connection = IsNetworkDown(error) || error == ECONNABORTED || error == EPROTO ||
-                             error == ENOPROTOOPT || error == EOPNOTSUPP || error == EPERM ||
-                             error == ETIMEDOUT || error == ECONNRESET;
-  return of_connection ? ErrorClass::kPeer : ErrorClass::kFatal;
+  if (IsResourceShortage(error)) return ErrorClass::kTransient;
+  // accept(2) on Linux also returns pending errors of the new connection.
+  const bool is_connection_error = IsNetworkDown(error) || error == ECONNABORTED ||
+                                   error == EPROTO || error == ENOPROTOOPT || error == EOPNOTSUPP ||
+                                   error == EPERM || error == ETIMEDOUT || error == ECONNRESET;
+  return is_connection_error ? ErrorClass::kPeer : ErrorClass::kFatal;
 }
 
 ErrorClass ClassifyBind(int error) {
-  const bool may_pass = IsShortage(error) || error == EADDRINUSE || error == EADDRNOTAVAIL;
-  return may_pass ? ErrorClass::kTransient : ErrorClass::kFatal;
+  const bool is_temporary =
+      IsResourceShortage(error) || error == EADDRINUSE || error == EADDRNOTAVAIL;
+  return is_temporary ? ErrorClass::kTransient : ErrorClass::kFatal;
 }
 
 ErrorClass ClassifyConnect(int error) {
-  // Here EAGAIN and EADDRNOTAVAIL mean that all local ports are taken.
-  const bool local = (IsShortage(error) && error != EAGAIN) || error == EADDRNOTAVAIL ||
+  // For connect(2), EAGAIN and EADDRNOTAVAIL mean that all local ports are in use.
+  const bool local = (IsResourceShortage(error) && error != EAGAIN) || error == EADDRNOTAVAIL ||
                      error == EADDRINUSE || error == ENETUNREACH || error == ENETDOWN;
   return local ? ErrorClass::kTransient : ErrorClass::kPeer;
 }
@@ -61,7 +62,7 @@
     case EBUSY:
       return ErrorClass::kTransient;
     default:
-      return IsShortage(error) ? ErrorClass::kTransient : ErrorClass::kFatal;
+      return IsResourceShortage(error) ? ErrorClass::kTransient : ErrorClass::kFatal;
   }
 }
 
@@ -79,12 +80,13 @@
       return ClassifyStorage(error);
     case SystemCall::kOpenDescriptor:
     case SystemCall::kStartThread:
-      return IsShortage(error) ? ErrorClass::kTransient : ErrorClass::kFatal;
+      return IsResourceShortage(error) ? ErrorClass::kTransient : ErrorClass::kFatal;
     case SystemCall::kPoll:
-      return IsShortage(error) || error == ENOSPC ? ErrorClass::kTransient : ErrorClass::kFatal;
+      return IsResourceShortage(error) || error == ENOSPC ? ErrorClass::kTransient
+                                                          : ErrorClass::kFatal;
     case SystemCall::kReceive:
     case SystemCall::kSend:
-      return IsShortage(error) ? ErrorClass::kTransient : ErrorClass::kPeer;
+      return IsResourceShortage(error) ? ErrorClass::kTransient : ErrorClass::kPeer;
   }
   return ErrorClass::kFatal;
 }
--- a/tests/forwarder/order_player.hpp
+++ b/tests/forwarder/order_player.hpp
@@ -99,10 +99,10 @@
     config.tenant_names = {"t"};
     config.kind_names = {"k"};
     config.zone_names = {"a"};
-    config.known = {.revision = 1,
-                    .complete = true,
-                    .members = order.endpoints,
-                    .source = ListSource::kConfiguration};
+    config.known_endpoints = {.revision = 1,
+                              .complete = true,
+                              .members = order.endpoints,
+                              .source = ListSource::kConfiguration};
     config.connect_timeout = Millis(1000);
     return config;
   }
