--- a/tests/compatibility/make_data.py
+++ b/tests/compatibility/make_data.py
@@ -40,7 +40,7 @@
 from recording_server import FULL, NOTICE, OK, SINGLE_CALL, RecordingServer
 
 FLEET_FILES = ("member", "known", "settled", "settled.snapshot")
-TORN_BYTES = 20  # length of the torn record at the end of the spool
+TORN_BYTES = 20  # of the last record of the spool, as if killed while writing it
 
 
 def replace_folder(name):
