--- a/tests/faults/agent.py
+++ b/tests/faults/agent.py
@@ -57,6 +57,8 @@
 
 
 class Agent(rig.Discovery):
+    """Discovery that passes each post of notifications to `on_post`."""
+
     def __init__(self):
         super().__init__()
         self.RequestHandlerClass = AgentHandler
@@ -65,7 +67,7 @@
         self.release = threading.Event()
         self.on_post = lambda post: 204
         self.on_head = lambda: True  # false: the connection ends with the post unread
-        self.connections = []  # all that were accepted
+        self.connections = []  # all accepted connections
 
     @property
     def address(self):
--- a/tests/faults/matrix_test.py
+++ b/tests/faults/matrix_test.py
@@ -70,6 +70,8 @@
 
 @dataclasses.dataclass
 class Cell:
+    """One system call, the errno with which it fails, and the phase."""
+
     call: str
     error: str
     phase: str
@@ -77,6 +79,8 @@
 
 @dataclasses.dataclass
 class Verdict:
+    """The result of one cell."""
+
     cell: Cell
     failures: list
     hits: int
--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -55,6 +55,8 @@
 
 
 class Soak(Verdict):
+    """Plays and checks the schedule of one seed."""
+
     def __init__(self, seed, arguments):
         super().__init__(seed)
         self.keep = arguments.keep
--- a/tests/faults/soak_actions.py
+++ b/tests/faults/soak_actions.py
@@ -27,6 +27,8 @@
 
 
 class Actions(Stage):
+    """The actions that a schedule draws from."""
+
     unasked_answers = False  # endpoints may write a second, unsolicited answer
 
     def end_current(self, how=signal.SIGKILL):
--- a/tests/faults/soak_agent.py
+++ b/tests/faults/soak_agent.py
@@ -144,6 +144,8 @@
 
 
 class SoakAgent(agent.Agent):
+    """An agent with timed faults of posts and lists."""
+
     def __init__(self):
         super().__init__()
         self.RequestHandlerClass = SoakAgentHandler
--- a/tests/faults/soak_stage.py
+++ b/tests/faults/soak_stage.py
@@ -17,6 +17,8 @@
 
 
 class Stage(FaultTest):
+    """The processes, test servers, clients and timeline of one schedule."""
+
     post_share = None  # (fault name of PostShare, share of posts)
 
     def __init__(self, seed):
--- a/tests/faults/soak_verdict.py
+++ b/tests/faults/soak_verdict.py
@@ -25,6 +25,8 @@
 
 
 class Verdict(Actions):
+    """Checks a schedule after its end; each `judge_` method is one check."""
+
     def answered_at(self):
         """Returns the time at which each message was first answered with 200."""
         first = {}
--- a/tests/integration/forwarder_test.py
+++ b/tests/integration/forwarder_test.py
@@ -42,6 +42,8 @@
 
 
 class Forwarder:
+    """One process of the program with a configuration for the toy server."""
+
     def __init__(self, toy, folder, members=None, options=(), **limits):
         config = json.loads((ROOT / "examples" / "config.json").read_text())
         config["listen"] = "127.0.0.1:0"
