--- a/src/cli/zone_commands.hpp
+++ b/src/cli/zone_commands.hpp
@@ -28,7 +28,7 @@
 int ShowZone(const std::string& path, const cxxopts::ParseResult& given);
 int DiffZones(const std::string& from, const std::string& to, const cxxopts::ParseResult& given);
 
-// ---- name servers: zone_client.cpp. The first word is the server. ----
+// ---- name servers: zone_client.cpp. The first element of `words` is the server. ----
 int QueryServer(const std::vector<std::string>& words, const cxxopts::ParseResult& given);
 int UpdateZone(const std::vector<std::string>& words, const cxxopts::ParseResult& given);
 
--- a/src/spool/spool.cpp
+++ b/src/spool/spool.cpp
@@ -77,7 +77,7 @@
   return Spool(std::move(folder), std::move(report));
 }
 
-// Called before any file in the folder is accessed.
+// Acquires the ownership of the folder, before any file in it is accessed. Reports a failure once.
 bool Spool::AcquireFolder() {
   const FileLock::Outcome outcome = owner_->Acquire();
   if (FolderOwner::IsOwned(outcome)) return true;
