--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -8,9 +8,11 @@
 
 constexpr double kNever = 1e18;
 // A penalty below this is forgotten.
-constexpr double kForgotten = 0.05;
+constexpr double kNegligiblePenalty = 0.05;
 
-int Badness(Phase phase) { return phase == Phase::kReady ? 0 : phase == Phase::kGone ? 2 : 1; }
+int PhaseSeverity(Phase phase) {
+  return phase == Phase::kReady ? 0 : phase == Phase::kGone ? 2 : 1;
+}
 
 bool Same(const Member& a, const Member& b) {
   return a.id == b.id && a.address == b.address && a.zone == b.zone && a.kind == b.kind &&
@@ -27,16 +29,16 @@
   return sources_.size() - 1;
 }
 
-void Membership::NoteReport(Source& source, double now) {
+void Membership::RecordReport(Source& source, double now) {
   source.reported_at = now;
   source.failing = 0;
-  const bool back = !Counts(source);
-  source.spoke = true;
+  const bool back = !IsActive(source);
+  source.has_reported = true;
   source.expired = false;
-  if (back) Touch(source);
+  if (back) MarkOutdated(source);
 }
 
-void Membership::Confirm(SourceId source, double now) { NoteReport(sources_[source], now); }
+void Membership::Confirm(SourceId source, double now) { RecordReport(sources_[source], now); }
 
 void Membership::Failed(SourceId source, double now) {
   if (sources_[source].failing == 0) sources_[source].failing = now;
@@ -45,13 +47,13 @@
 void Membership::Take(SourceId id, const std::string& group, const std::vector<Member>& members,
                       double now) {
   Source& source = sources_[id];
-  NoteReport(source, now);
+  RecordReport(source, now);
   std::set<std::pair<std::uint64_t, std::string>> before;
   if (const auto known = source.groups.find(group); known != source.groups.end()) {
     before = std::move(known->second);
     source.groups.erase(known);
     for (const auto& [number, address] : before) {
-      touched_.insert(number);
+      outdated_destinations_.insert(number);
       auto& reported = source.reported[number];
       std::erase_if(reported[address],
                     [&group](const ReportedMember& one) { return one.group == group; });
@@ -63,22 +65,23 @@
   for (const Member& member : members) {
     if (member.phase == Phase::kGone) continue;
     const std::pair key(member.destination, member.address);
-    touched_.insert(member.destination);
+    outdated_destinations_.insert(member.destination);
     if (source.settings.owns) source.owned.insert(member.destination);
     keys.insert(key);
     source.reported[member.destination][member.address].push_back({member, group});
     // To list it again takes its removal back.
     Destination& destination = destinations_[member.destination];
-    if (const auto veto = destination.vetoed.find(member.address);
-        veto != destination.vetoed.end() && veto->second.erase(id) > 0 && veto->second.empty()) {
-      destination.vetoed.erase(veto);
+    if (const auto removal = destination.removed_by.find(member.address);
+        removal != destination.removed_by.end() && removal->second.erase(id) > 0 &&
+        removal->second.empty()) {
+      destination.removed_by.erase(removal);
     }
   }
   if (keys.empty()) source.groups.erase(group);
   for (const auto& [number, address] : before) {
     const auto reported = source.reported.find(number);
     if (reported != source.reported.end() && reported->second.contains(address)) continue;
-    destinations_[number].vetoed[address].insert(id);
+    destinations_[number].removed_by[address].insert(id);
   }
 }
 
@@ -92,14 +95,14 @@
     Take(id, member.id, {member}, now);
   }
   for (const std::string& member_id : left_out) Drop(id, member_id, now);
-  NoteReport(sources_[id], now);
+  RecordReport(sources_[id], now);
 }
 
 void Membership::Expired(SourceId id) {
   Source& source = sources_[id];
-  if (!Counts(source)) return;
+  if (!IsActive(source)) return;
   source.expired = true;
-  Touch(source);
+  MarkOutdated(source);
 }
 
 void Membership::ExpireDue(double now) {
@@ -109,15 +112,15 @@
   }
 }
 
-void Membership::Touch(const Source& source) {
-  for (const auto& [number, reported] : source.reported) touched_.insert(number);
-  touched_.insert(source.owned.begin(), source.owned.end());
+void Membership::MarkOutdated(const Source& source) {
+  for (const auto& [number, reported] : source.reported) outdated_destinations_.insert(number);
+  outdated_destinations_.insert(source.owned.begin(), source.owned.end());
 }
 
 const Membership::Source* Membership::OwnerOf(std::uint64_t number) const {
   const Source* owner = nullptr;
   for (const Source& source : sources_) {
-    if (!Counts(source) || !source.owned.contains(number)) continue;
+    if (!IsActive(source) || !source.owned.contains(number)) continue;
     if (owner == nullptr || source.settings.rank < owner->settings.rank) owner = &source;
   }
   return owner;
@@ -129,22 +132,24 @@
   const int rank = source.settings.rank;
   for (const auto& [address, all] : reported->second) {
     for (const ReportedMember& one : all) {
-      const auto [place, fresh] = best.try_emplace(address, RankedMember{rank, one.member});
-      if (fresh) continue;
-      RankedMember& held = place->second;
-      const Phase worst = Badness(held.member.phase) > Badness(one.member.phase) ? held.member.phase
-                                                                                 : one.member.phase;
-      if (rank < held.rank) held = {rank, one.member};
-      held.member.phase = worst;
+      const auto [entry, inserted] = best.try_emplace(address, RankedMember{rank, one.member});
+      if (inserted) continue;
+      RankedMember& merged = entry->second;
+      const Phase worst = PhaseSeverity(merged.member.phase) > PhaseSeverity(one.member.phase)
+                              ? merged.member.phase
+                              : one.member.phase;
+      if (rank < merged.rank) merged = {rank, one.member};
+      merged.member.phase = worst;
     }
   }
 }
 
-bool Membership::IsVetoed(const Destination& destination, const std::string& address) const {
-  const auto veto = destination.vetoed.find(address);
-  return veto != destination.vetoed.end() &&
-         std::any_of(veto->second.begin(), veto->second.end(),
-                     [this](SourceId id) { return Counts(sources_[id]); });
+bool Membership::IsRemovedByActiveSource(const Destination& destination,
+                                         const std::string& address) const {
+  const auto removal = destination.removed_by.find(address);
+  return removal != destination.removed_by.end() &&
+         std::any_of(removal->second.begin(), removal->second.end(),
+                     [this](SourceId id) { return IsActive(sources_[id]); });
 }
 
 std::map<std::string, Member> Membership::DesiredMembers(std::uint64_t number,
@@ -152,13 +157,13 @@
   const Source* owner = OwnerOf(number);
   RankedMembers best;
   for (const auto& source : sources_) {
-    if (!Counts(source) || (owner != nullptr && owner != &source)) continue;
+    if (!IsActive(source) || (owner != nullptr && owner != &source)) continue;
     MergeSource(source, number, best);
   }
   std::map<std::string, Member> desired;
   for (auto& [address, found] : best) {
-    const bool vetoed = owner == nullptr && IsVetoed(destination, address);
-    if (!vetoed) desired.emplace(address, std::move(found.member));
+    const bool removed = owner == nullptr && IsRemovedByActiveSource(destination, address);
+    if (!removed) desired.emplace(address, std::move(found.member));
   }
   return desired;
 }
@@ -167,34 +172,36 @@
   return flaps.penalty * std::exp2(-(now - flaps.at) / damping_.half_life);
 }
 
-void Membership::HoldBack(Destination& destination, std::map<std::string, Member>& desired,
-                          double now) {
-  std::map<std::string, Member> held;
+void Membership::DelayFlapping(Destination& destination, std::map<std::string, Member>& desired,
+                               double now) {
+  std::map<std::string, Member> delayed;
   for (auto member = desired.begin(); member != desired.end();) {
     const auto flaps = destination.flaps.find(member->first);
-    const bool hold = !destination.announced.contains(member->first) &&
-                      flaps != destination.flaps.end() && flaps->second.held_until > now;
-    if (hold) held.insert(*member);
-    member = hold ? desired.erase(member) : std::next(member);
+    const bool delay = !destination.announced.contains(member->first) &&
+                       flaps != destination.flaps.end() && flaps->second.delayed_until > now;
+    if (delay) delayed.insert(*member);
+    member = delay ? desired.erase(member) : std::next(member);
   }
   const bool some_ready = std::any_of(desired.begin(), desired.end(), [](const auto& entry) {
     return entry.second.phase == Phase::kReady;
   });
-  if (some_ready || held.empty()) return;
+  if (some_ready || delayed.empty()) return;
   // Better one that comes and goes than none: the one that did so least.
-  const auto least = std::min_element(held.begin(), held.end(), [&](const auto& a, const auto& b) {
-    return PenaltyNow(destination.flaps.at(a.first), now) <
-           PenaltyNow(destination.flaps.at(b.first), now);
-  });
+  const auto least =
+      std::min_element(delayed.begin(), delayed.end(), [&](const auto& a, const auto& b) {
+        return PenaltyNow(destination.flaps.at(a.first), now) <
+               PenaltyNow(destination.flaps.at(b.first), now);
+      });
   desired.insert(*least);
 }
 
-void Membership::Work(std::uint64_t number, Destination& destination, double now, MemberList& out) {
+void Membership::UpdateDestination(std::uint64_t number, Destination& destination, double now,
+                                   MemberList& out) {
   // What no source lists needs no veto any more.
-  std::erase_if(destination.vetoed, [&](const auto& veto) {
+  std::erase_if(destination.removed_by, [&](const auto& removal) {
     return std::none_of(sources_.begin(), sources_.end(), [&](const Source& source) {
       const auto reported = source.reported.find(number);
-      return reported != source.reported.end() && reported->second.contains(veto.first);
+      return reported != source.reported.end() && reported->second.contains(removal.first);
     });
   });
   std::map<std::string, Member> desired = DesiredMembers(number, destination);
@@ -213,21 +220,21 @@
       flaps.at = now;
       if (flaps.penalty > damping_.suppress) {
         const double wait = damping_.half_life * std::log2(flaps.penalty / damping_.reuse);
-        flaps.held_until = now + std::min(wait, damping_.longest);
-        releases_.emplace(flaps.held_until, number);
+        flaps.delayed_until = now + std::min(wait, damping_.longest);
+        releases_.emplace(flaps.delayed_until, number);
       }
     }
     announced = destination.announced.erase(announced);
-    --told_;
+    --announced_count_;
     out.members.push_back(std::move(gone));
   }
-  HoldBack(destination, desired, now);
+  DelayFlapping(destination, desired, now);
   for (auto& [address, member] : desired) {
-    const auto [announced, fresh] = destination.announced.try_emplace(address);
-    told_ += fresh ? 1 : 0;
-    if (!fresh && Same(announced->second, member)) continue;
+    const auto [announced, inserted] = destination.announced.try_emplace(address);
+    announced_count_ += inserted ? 1 : 0;
+    if (!inserted && Same(announced->second, member)) continue;
     // The engine knows an endpoint by its id: under another one, the first is gone.
-    if (!fresh && announced->second.id != member.id) {
+    if (!inserted && announced->second.id != member.id) {
       announced->second.phase = Phase::kGone;
       out.members.push_back(announced->second);
     }
@@ -235,27 +242,27 @@
     out.members.push_back(std::move(member));
   }
   std::erase_if(destination.flaps, [&](const auto& entry) {
-    return entry.second.held_until <= now && PenaltyNow(entry.second, now) < kForgotten;
+    return entry.second.delayed_until <= now && PenaltyNow(entry.second, now) < kNegligiblePenalty;
   });
 }
 
 std::optional<MemberList> Membership::Changes(double now) {
   ExpireDue(now);
   while (!releases_.empty() && releases_.begin()->first <= now) {
-    touched_.insert(releases_.begin()->second);
+    outdated_destinations_.insert(releases_.begin()->second);
     releases_.erase(releases_.begin());
   }
   MemberList list;
-  for (const std::uint64_t number : std::exchange(touched_, {})) {
+  for (const std::uint64_t number : std::exchange(outdated_destinations_, {})) {
     const auto destination = destinations_.try_emplace(number).first;
-    Work(number, destination->second, now, list);
-    if (destination->second.announced.empty() && destination->second.vetoed.empty() &&
+    UpdateDestination(number, destination->second, now, list);
+    if (destination->second.announced.empty() && destination->second.removed_by.empty() &&
         destination->second.flaps.empty()) {
       destinations_.erase(destination);
     }
   }
-  const auto spoke = [](const Source& source) { return source.spoke; };
-  const bool empty_first = first_ && std::any_of(sources_.begin(), sources_.end(), spoke);
+  const auto has_reported = [](const Source& source) { return source.has_reported; };
+  const bool empty_first = first_ && std::any_of(sources_.begin(), sources_.end(), has_reported);
   if (list.members.empty() && !empty_first) return std::nullopt;
   list.complete = std::exchange(first_, false);
   list.revision = ++revision_;
@@ -264,9 +271,9 @@
 
 double Membership::NextDue() const {
   double due = releases_.empty() ? kNever : releases_.begin()->first;
-  if (!touched_.empty()) due = 0;
+  if (!outdated_destinations_.empty()) due = 0;
   for (const Source& source : sources_) {
-    if (Counts(source) && source.settings.expiry > 0) {
+    if (IsActive(source) && source.settings.expiry > 0) {
       due = std::min(due, source.reported_at + source.settings.expiry);
     }
   }
@@ -296,7 +303,7 @@
           sources_.begin(), sources_.end(),
           [&, &number = number, &address = address](const Source& source) {
             const auto of = source.reported.find(number);
-            return Counts(source) && of != source.reported.end() && of->second.contains(address);
+            return IsActive(source) && of != source.reported.end() && of->second.contains(address);
           });
       count += !listed && reported ? 1 : 0;
     }
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -84,13 +84,13 @@
     SourceSettings settings;
     std::size_t groups = 0;
     std::size_t members = 0;
-    double reported_at = 0;  // when it last spoke
+    double reported_at = 0;  // when it last reported
     double failing = 0;      // since when it fails; 0: it does not
     bool expired = false;
   };
   [[nodiscard]] std::vector<SourceState> Sources() const;
   [[nodiscard]] std::size_t suppressed() const;
-  [[nodiscard]] std::size_t endpoints() const { return told_; }
+  [[nodiscard]] std::size_t endpoints() const { return announced_count_; }
 
  private:
   // An endpoint's key within its destination is its address.
@@ -106,23 +106,25 @@
     std::set<std::uint64_t> owned;
     double reported_at = 0;
     double failing = 0;
-    bool spoke = false;
+    bool has_reported = false;
     bool expired = false;
   };
   struct Flaps {
     double penalty = 0;
-    double at = 0;          // when it was so
-    double held_until = 0;  // 0: not held back
+    double at = 0;             // when it was so
+    double delayed_until = 0;  // 0: not held back
   };
   struct Destination {
     std::map<std::string, Member> announced;  // by address: what the engine knows, without the gone
-    std::map<std::string, std::set<SourceId>> vetoed;  // by those who removed it
+    std::map<std::string, std::set<SourceId>> removed_by;  // by those who removed it
     std::map<std::string, Flaps> flaps;
   };
 
-  [[nodiscard]] bool Counts(const Source& source) const { return source.spoke && !source.expired; }
-  void NoteReport(Source& source, double now);
-  void Touch(const Source& source);
+  [[nodiscard]] bool IsActive(const Source& source) const {
+    return source.has_reported && !source.expired;
+  }
+  void RecordReport(Source& source, double now);
+  void MarkOutdated(const Source& source);
   void ExpireDue(double now);
   // A member with the rank of the source that it is taken from.
   struct RankedMember {
@@ -135,20 +137,22 @@
   [[nodiscard]] const Source* OwnerOf(std::uint64_t number) const;
   // Adds what the source lists: the lowest rank holds, in the worst phase that any of them tells.
   static void MergeSource(const Source& source, std::uint64_t number, RankedMembers& best);
-  [[nodiscard]] bool IsVetoed(const Destination& destination, const std::string& address) const;
+  [[nodiscard]] bool IsRemovedByActiveSource(const Destination& destination,
+                                             const std::string& address) const;
   [[nodiscard]] std::map<std::string, Member> DesiredMembers(std::uint64_t number,
                                                              const Destination& destination) const;
-  void Work(std::uint64_t number, Destination& destination, double now, MemberList& out);
-  void HoldBack(Destination& destination, std::map<std::string, Member>& desired, double now);
+  void UpdateDestination(std::uint64_t number, Destination& destination, double now,
+                         MemberList& out);
+  void DelayFlapping(Destination& destination, std::map<std::string, Member>& desired, double now);
   [[nodiscard]] double PenaltyNow(const Flaps& flaps, double now) const;
 
   const Damping damping_;
   std::uint64_t revision_;
   bool first_ = true;
-  std::size_t told_ = 0;
+  std::size_t announced_count_ = 0;
   std::vector<Source> sources_;
   std::map<std::uint64_t, Destination> destinations_;
-  std::set<std::uint64_t> touched_;                      // to be worked out again
+  std::set<std::uint64_t> outdated_destinations_;        // to be worked out again
   std::set<std::pair<double, std::uint64_t>> releases_;  // when something held back may come
 };
 
--- a/src/membership/zone_map.cpp
+++ b/src/membership/zone_map.cpp
@@ -28,8 +28,8 @@
   std::string key(word.substr(0, equals));
   for (char& c : key) c = dns::LowerOf(c);
   const std::string value(word.substr(equals + 1));
-  const auto [place, fresh] = attributes.emplace(key, value);
-  if (!fresh && place->second != value) {
+  const auto [entry, inserted] = attributes.emplace(key, value);
+  if (!inserted && entry->second != value) {
     faults.push_back(name.ToText() + " TXT: " + key + " is said in two ways");
   }
 }
@@ -73,50 +73,50 @@
 
 }  // namespace
 
-void ZoneMap::Forget(const std::string& key) {
-  const auto needs = needs_.find(key);
-  if (needs == needs_.end()) return;
-  for (const std::string& needed : needs->second) {
-    const auto by = needed_by_.find(needed);
-    by->second.erase(key);
-    if (by->second.empty()) needed_by_.erase(by);
+void ZoneMap::RemoveDependencies(const std::string& key) {
+  const auto dependencies = dependencies_.find(key);
+  if (dependencies == dependencies_.end()) return;
+  for (const std::string& dependency : dependencies->second) {
+    const auto dependents = dependents_.find(dependency);
+    dependents->second.erase(key);
+    if (dependents->second.empty()) dependents_.erase(dependents);
   }
-  needs_.erase(needs);
+  dependencies_.erase(dependencies);
 }
 
-void ZoneMap::Need(const std::string& service_key, const Name& name) {
-  needs_[service_key].insert(name.Key());
-  needed_by_[name.Key()].insert(service_key);
+void ZoneMap::AddDependency(const std::string& service_key, const Name& name) {
+  dependencies_[service_key].insert(name.Key());
+  dependents_[name.Key()].insert(service_key);
 }
 
 // Follows aliases from the SRV record's target to its addresses; null with a fault if there are
 // none.
 const dns::RecordSet* ZoneMap::AddressesOf(const Zone& zone, const std::string& service_key,
                                            std::uint32_t port, Name& target, Service& service) {
-  const std::string shown = WithoutEndDot(target.Lower().ToText());
+  const std::string target_text = WithoutEndDot(target.Lower().ToText());
   int aliases = 0;
-  Need(service_key, target);
+  AddDependency(service_key, target);
   const dns::RecordSet* alias = nullptr;
   while ((alias = zone.Find(target, type::kCname)) != nullptr && ++aliases <= kMaxAliases) {
     target = dns::NameField(type::kCname, alias->rdatas.front(), 0);
-    Need(service_key, target);
+    AddDependency(service_key, target);
   }
   const dns::RecordSet* addresses = zone.Find(target, type::kA);
   if (alias == nullptr && addresses != nullptr && port != 0) return addresses;
-  std::string why = shown + " leads out of the zone to " + target.ToText();
-  if (target.IsAtOrBelow(zone.origin())) why = shown + " has no A record";
-  if (alias != nullptr) why = shown + " is an alias without an end";
+  std::string why = target_text + " leads out of the zone to " + target.ToText();
+  if (target.IsAtOrBelow(zone.origin())) why = target_text + " has no A record";
+  if (alias != nullptr) why = target_text + " is an alias without an end";
   if (port == 0) why = "port 0";
   service.faults.push_back(service.name + ": " + why);
   return nullptr;
 }
 
-ZoneMap::Service ZoneMap::Work(const Zone& zone, const Name& name) {
+ZoneMap::Service ZoneMap::BuildService(const Zone& zone, const Name& name) {
   const std::string key = name.Key();
-  Forget(key);
+  RemoveDependencies(key);
   Service service{WithoutEndDot(name.Lower().ToText()), {}, {}};
   auto& faults = service.faults;
-  Need(key, name);
+  AddDependency(key, name);
   const dns::RecordSet* srv = zone.Find(name, type::kSrv);
   if (srv == nullptr) return service;
 
@@ -137,18 +137,18 @@
     const auto port = dns::NumberField(type::kSrv, rdata, 2);
     Name target = dns::NameField(type::kSrv, rdata, 3);
     if (target.IsRoot()) continue;
-    const std::string shown = WithoutEndDot(target.Lower().ToText());
+    const std::string target_text = WithoutEndDot(target.Lower().ToText());
     const dns::RecordSet* addresses = AddressesOf(zone, key, port, target, service);
     if (addresses == nullptr) continue;
-    const Attributes own = AttributesAt(zone, target, faults);
-    const auto phase = PhaseIn(own, target, faults);
+    const Attributes target_attributes = AttributesAt(zone, target, faults);
+    const auto phase = PhaseIn(target_attributes, target, faults);
     if (!phase) continue;
     for (const std::string& address : addresses->rdatas) {
       Member member;
       member.address = dns::RdataText(type::kA, address) + ":" + std::to_string(port);
       // Of its target and address: with either changed it is another endpoint.
-      member.id = service.name + "/" + shown + "@" + member.address;
-      member.zone = AttributeOr(own, "zone", service_zone);
+      member.id = service.name + "/" + target_text + "@" + member.address;
+      member.zone = AttributeOr(target_attributes, "zone", service_zone);
       member.kind = AttributeOr(attributes, "kind", defaults_.kind);
       member.destination = *destination;
       member.phase = Worse(*service_phase, *phase);
@@ -156,13 +156,13 @@
       by_priority[dns::NumberField(type::kSrv, rdata, 0)].push_back(std::move(member));
     }
   }
-  TakeByPriority(std::move(by_priority), service.members);
+  SelectByPriority(std::move(by_priority), service.members);
   return service;
 }
 
 // Members of a later priority serve only while none of an earlier one is ready (RFC 2782).
-void ZoneMap::TakeByPriority(std::map<std::uint32_t, std::vector<Member>>&& by_priority,
-                             std::vector<Member>& members) {
+void ZoneMap::SelectByPriority(std::map<std::uint32_t, std::vector<Member>>&& by_priority,
+                               std::vector<Member>& members) {
   bool served = false;
   for (auto& [priority, of_priority] : by_priority) {
     bool ready = false;
@@ -182,34 +182,35 @@
     if (record.type != type::kSrv || names_.contains(record.name.Key())) return;
     names_.emplace(record.name.Key(), record.name);
     before.erase(record.name.Key());
-    services.push_back(Work(zone, record.name));
+    services.push_back(BuildService(zone, record.name));
   });
   for (const auto& [key, name] : before) {
-    services.push_back(Work(zone, name));
-    Forget(key);
+    services.push_back(BuildService(zone, name));
+    RemoveDependencies(key);
   }
   return services;
 }
 
 std::vector<ZoneMap::Service> ZoneMap::Apply(const Zone& zone, const dns::Change& change) {
-  std::map<std::string, Name> touched;
+  std::map<std::string, Name> affected;
   for (const auto* records : {&change.removed, &change.added}) {
     for (const dns::Record& record : *records) {
       if (record.type == type::kSoa) continue;
       const std::string key = record.name.Key();
-      if (record.type == type::kSrv) touched.emplace(key, record.name);
-      if (const auto by = needed_by_.find(key); by != needed_by_.end()) {
-        for (const std::string& service : by->second) touched.emplace(service, names_.at(service));
+      if (record.type == type::kSrv) affected.emplace(key, record.name);
+      if (const auto dependents = dependents_.find(key); dependents != dependents_.end()) {
+        for (const std::string& service : dependents->second)
+          affected.emplace(service, names_.at(service));
       }
     }
   }
   std::vector<Service> services;
-  for (const auto& [key, name] : touched) {
-    services.push_back(Work(zone, name));
+  for (const auto& [key, name] : affected) {
+    services.push_back(BuildService(zone, name));
     if (zone.Find(name, type::kSrv) != nullptr) {
       names_.emplace(key, name);
     } else {
-      Forget(key);
+      RemoveDependencies(key);
       names_.erase(key);
     }
   }
--- a/src/membership/zone_map.hpp
+++ b/src/membership/zone_map.hpp
@@ -46,19 +46,20 @@
   [[nodiscard]] std::size_t services() const { return names_.size(); }
 
  private:
-  Service Work(const dns::Zone& zone, const dns::Name& name);
+  Service BuildService(const dns::Zone& zone, const dns::Name& name);
   // A change at `name` makes the service be worked out anew.
-  void Need(const std::string& service_key, const dns::Name& name);
+  void AddDependency(const std::string& service_key, const dns::Name& name);
   const dns::RecordSet* AddressesOf(const dns::Zone& zone, const std::string& service_key,
                                     std::uint32_t port, dns::Name& target, Service& service);
-  static void TakeByPriority(std::map<std::uint32_t, std::vector<Member>>&& by_priority,
-                             std::vector<Member>& members);
-  void Forget(const std::string& key);
+  static void SelectByPriority(std::map<std::uint32_t, std::vector<Member>>&& by_priority,
+                               std::vector<Member>& members);
+  void RemoveDependencies(const std::string& key);
 
   const Defaults defaults_;
-  std::map<std::string, dns::Name> names_;              // of services, by key
-  std::map<std::string, std::set<std::string>> needs_;  // service to the names it was made of
-  std::map<std::string, std::set<std::string>> needed_by_;
+  std::map<std::string, dns::Name> names_;  // of services, by key
+  std::map<std::string, std::set<std::string>>
+      dependencies_;  // service to the names it was made of
+  std::map<std::string, std::set<std::string>> dependents_;
 };
 
 }  // namespace brassfront::membership
--- a/src/records/records.cpp
+++ b/src/records/records.cpp
@@ -39,7 +39,7 @@
   return "{" + out + "}";
 }
 
-[[noreturn]] void Mistake(const Record& record, const std::string& what) {
+[[noreturn]] void ThrowMisuse(const Record& record, const std::string& what) {
   throw std::logic_error("records: " + record.at().Text() + ": the program expects " + what);
 }
 
@@ -50,8 +50,8 @@
   std::optional<Record> record;
   try {
     record = work(evaluator);
-  } catch (const Evaluator::TooMuch& too_much) {
-    ThrowFault(too_much.fault.at, too_much.fault.message);
+  } catch (const Evaluator::StepLimitExceeded& exceeded) {
+    ThrowFault(exceeded.fault.at, exceeded.fault.message);
   }
   if (!evaluator.faults().empty()) throw BadRecords(evaluator.faults());
   if (!record) throw std::logic_error("records: refused without a reason");
@@ -63,7 +63,7 @@
 template <typename T>
 const T& Record::As(const char* what) const {
   const T* value = std::get_if<T>(&form_);
-  if (value == nullptr) Mistake(*this, what);
+  if (value == nullptr) ThrowMisuse(*this, what);
   return *value;
 }
 
@@ -74,31 +74,31 @@
 
 std::int64_t Record::Int() const {
   const auto& number = As<Number>("an int");
-  if (number.unit != Unit::kNone || !number.whole) Mistake(*this, "an int");
+  if (number.unit != Unit::kNone || !number.whole) ThrowMisuse(*this, "an int");
   return number.exact;
 }
 
 double Record::Double() const {
   const auto& number = As<Number>("a number");
-  if (number.unit != Unit::kNone) Mistake(*this, "a number");
+  if (number.unit != Unit::kNone) ThrowMisuse(*this, "a number");
   return number.value;
 }
 
 std::chrono::nanoseconds Record::Duration() const {
   const auto& number = As<Number>("a duration");
-  if (number.unit != Unit::kDuration) Mistake(*this, "a duration");
+  if (number.unit != Unit::kDuration) ThrowMisuse(*this, "a duration");
   return std::chrono::nanoseconds(number.exact);
 }
 
 std::int64_t Record::Bytes() const {
   const auto& number = As<Number>("a size");
-  if (number.unit != Unit::kSize) Mistake(*this, "a size");
+  if (number.unit != Unit::kSize) ThrowMisuse(*this, "a size");
   return number.exact;
 }
 
 double Record::PerSecond() const {
   const auto& number = As<Number>("a rate");
-  if (number.unit != Unit::kRate) Mistake(*this, "a rate");
+  if (number.unit != Unit::kRate) ThrowMisuse(*this, "a rate");
   return number.value;
 }
 
@@ -111,7 +111,7 @@
 
 const Record& Record::At(std::string_view name) const {
   const Record* field = Find(name);
-  if (field == nullptr) Mistake(*this, "a field " + std::string(name));
+  if (field == nullptr) ThrowMisuse(*this, "a field " + std::string(name));
   return *field;
 }
 
@@ -124,13 +124,13 @@
   return Run([&](Evaluator& evaluator) -> std::optional<Record> {
     const Expression reference{{}, Expression::Reference{name}};
     const Scope of_schema{&std::get<Expression::Struct>(declared->form), nullptr};
-    const ValuePtr must = evaluator.Evaluate(reference, of_schema, true);
+    const ValuePtr declared_value = evaluator.Evaluate(reference, of_schema, true);
     // A file's own definitions come before the schema's, which it may use as well.
-    const ValuePtr is = evaluator.Evaluate(*found, of_schema, false);
-    if (!must || !is) return std::nullopt;
-    const ValuePtr both = evaluator.Unify(*must, *is);
-    if (!both) return std::nullopt;
-    return evaluator.Finish(*both, name, {});
+    const ValuePtr file_value = evaluator.Evaluate(*found, of_schema, false);
+    if (!declared_value || !file_value) return std::nullopt;
+    const ValuePtr unified = evaluator.Unify(*declared_value, *file_value);
+    if (!unified) return std::nullopt;
+    return evaluator.Finish(*unified, name, {});
   });
 }
 
@@ -138,9 +138,9 @@
   const ExpressionPtr found = ParseRecords(file.text, file.file);
   return Run([&](Evaluator& evaluator) -> std::optional<Record> {
     const Scope nothing;
-    const ValuePtr is = evaluator.Evaluate(*found, nothing, false);
-    if (!is) return std::nullopt;
-    return evaluator.Finish(*is, "the file", {});
+    const ValuePtr file_value = evaluator.Evaluate(*found, nothing, false);
+    if (!file_value) return std::nullopt;
+    return evaluator.Finish(*file_value, "the file", {});
   });
 }
 
--- a/src/records/syntax.cpp
+++ b/src/records/syntax.cpp
@@ -45,10 +45,10 @@
     : peg::seq<peg::opt<peg::one<'/'>>, peg::plus<peg::sor<peg::alpha, peg::one<'%'>>>> {};
 struct NumberLiteral : peg::seq<NumberValue, peg::opt<UnitName>> {};
 
-struct Relate : peg::sor<peg::string<'>', '='>, peg::string<'<', '='>, peg::string<'!', '='>,
-                         peg::one<'<'>, peg::one<'>'>> {};
+struct RelationOperator : peg::sor<peg::string<'>', '='>, peg::string<'<', '='>,
+                                   peg::string<'!', '='>, peg::one<'<'>, peg::one<'>'>> {};
 struct Limit : peg::sor<NumberLiteral, String> {};
-struct BoundRule : peg::seq<Relate, SameLine, peg::must<Limit>> {};
+struct BoundRule : peg::seq<RelationOperator, SameLine, peg::must<Limit>> {};
 
 struct Value;
 struct Fields;
@@ -141,7 +141,7 @@
 using Selector = peg::parse_tree::selector<
     Rule,
     peg::parse_tree::store_content::on<Identifier, Definition, StringBody, NumberValue, UnitName,
-                                       Relate, NumberLiteral>,
+                                       RelationOperator, NumberLiteral>,
     peg::parse_tree::remove_content::on<String, BoundRule, StructRule, ListRule, Rest, AndRule,
                                         DefaultMark, Choice, NextChoice, Value, FieldRule,
                                         OptionalMark, Open, Group>>;
--- a/src/records/unify.cpp
+++ b/src/records/unify.cpp
@@ -9,7 +9,7 @@
 namespace brassfront::records {
 namespace {
 
-constexpr std::size_t kMaxWork =
+constexpr std::size_t kMaxSteps =
     500'000;  // terms made; a file of a thousand records takes some 20,000
 
 constexpr std::array<const char*, 10> kKindNames = {
@@ -54,7 +54,7 @@
 }
 
 // The kind that is both; nothing if there is none.
-std::optional<Kind> Meet(Kind a, Kind b) {
+std::optional<Kind> CommonKind(Kind a, Kind b) {
   if (a == Kind::kAny) return b;
   if (b == Kind::kAny || a == b) return a;
   const auto numbers = [](Kind x, Kind y) { return x == Kind::kInt && y == Kind::kNumber; };
@@ -173,15 +173,15 @@
 }
 
 // Guards against alternatives of alternatives, of which a short file can make any number.
-void Evaluator::Spend(const Place& at) {
-  if (++work_ <= kMaxWork) return;
-  throw TooMuch{{at, "too much to evaluate: too many alternatives or records", {}}};
+void Evaluator::CountStep(const Place& at) {
+  if (++steps_ <= kMaxSteps) return;
+  throw StepLimitExceeded{{at, "too much to evaluate: too many alternatives or records", {}}};
 }
 
 // ======== evaluation ========
 
 ValuePtr Evaluator::Evaluate(const Expression& expression, const Scope& scope, bool closing) {
-  Spend(expression.at);
+  CountStep(expression.at);
   const auto& form = expression.form;
   if (const auto* name = std::get_if<Expression::Name>(&form)) {
     return EvaluateName(expression, name->text);
@@ -296,7 +296,8 @@
 ValuePtr Evaluator::EvaluateDefinition(const Expression& reference, const Field& definition,
                                        const Scope& scope) {
   const Expression* value = definition.value.get();
-  if (const auto done = done_.find(value); done != done_.end()) return done->second;
+  if (const auto known = evaluated_definitions_.find(value); known != evaluated_definitions_.end())
+    return known->second;
   if (std::find(evaluating_.begin(), evaluating_.end(), value) != evaluating_.end()) {
     Complain(reference.at, definition.name + " refers to itself", definition.at);
     return nullptr;
@@ -304,7 +305,7 @@
   evaluating_.push_back(value);
   ValuePtr evaluated = Evaluate(*value, scope, true);
   evaluating_.pop_back();
-  return done_.emplace(value, std::move(evaluated)).first->second;
+  return evaluated_definitions_.emplace(value, std::move(evaluated)).first->second;
 }
 
 ValuePtr Evaluator::EvaluateStruct(const Expression& expression, const Expression::Struct& form,
@@ -345,7 +346,7 @@
     for (const Value::Alternative& b : found.alternatives) {
       std::vector<Fault> before;
       if (!only) before.swap(faults_);
-      Found term = UnifyTerms(a.term, b.term);
+      OptionalTerm term = UnifyTerms(a.term, b.term);
       if (!only) {
         all_faults.push_back(std::exchange(faults_, std::move(before)));
       }
@@ -358,13 +359,13 @@
   }
   if (!out.alternatives.empty()) return std::make_shared<const Value>(std::move(out));
   if (only) return nullptr;
-  return NoneFits(declared, found, std::move(all_faults));
+  return ReportNoMatch(declared, found, std::move(all_faults));
 }
 
 // No alternative fits: the fault of the one that was most likely meant, or what there was to
 // choose.
-ValuePtr Evaluator::NoneFits(const Value& declared, const Value& found,
-                             std::vector<std::vector<Fault>> all_faults) {
+ValuePtr Evaluator::ReportNoMatch(const Value& declared, const Value& found,
+                                  std::vector<std::vector<Fault>> all_faults) {
   const Term& term = found.alternatives.front().term;
   const std::vector<Fault>* best = nullptr;
   std::vector<std::string> texts;
@@ -378,7 +379,7 @@
       continue;
     }
     only_scalars = false;
-    if (!Meet(choice.kind, term.kind)) continue;
+    if (!CommonKind(choice.kind, term.kind)) continue;
     const std::vector<Fault>& faults = all_faults[i * found.alternatives.size()];
     if (best == nullptr || faults.size() < best->size()) best = &faults;
   }
@@ -394,9 +395,9 @@
   return nullptr;
 }
 
-Evaluator::Found Evaluator::UnifyTerms(const Term& a, const Term& b) {
-  Spend(b.at);
-  const auto kind = Meet(a.kind, b.kind);
+Evaluator::OptionalTerm Evaluator::UnifyTerms(const Term& a, const Term& b) {
+  CountStep(b.at);
+  const auto kind = CommonKind(a.kind, b.kind);
   if (!kind) {
     Complain(b.at, "expected " + Describe(a) + ", found " + Describe(b), a.at);
     return std::nullopt;
--- a/src/records/unify.hpp
+++ b/src/records/unify.hpp
@@ -61,7 +61,7 @@
 class Evaluator {
  public:
   // Faults are collected, up to kMaxFaults. Thrown where a file asks for too much work.
-  struct TooMuch {
+  struct StepLimitExceeded {
     Fault fault;
   };
 
@@ -75,7 +75,7 @@
   std::vector<Fault>& faults() { return faults_; }
 
  private:
-  using Found = std::optional<Term>;
+  using OptionalTerm = std::optional<Term>;
 
   ValuePtr EvaluateName(const Expression& expression, const std::string& name);
   ValuePtr EvaluateReference(const Expression& expression, const std::string& name,
@@ -91,19 +91,19 @@
   ValuePtr EvaluateStruct(const Expression& expression, const Expression::Struct& form,
                           const Scope& scope, bool closing);
 
-  Found UnifyTerms(const Term& a, const Term& b);
+  OptionalTerm UnifyTerms(const Term& a, const Term& b);
   bool UnifyStructs(const Term& a, const Term& b, Term& out);
   bool UnifyLists(const Term& a, const Term& b, Term& out);
   bool HoldsBounds(const Term& term);
-  ValuePtr NoneFits(const Value& declared, const Value& found,
-                    std::vector<std::vector<Fault>> all_faults);
-  void Spend(const Place& at);
+  ValuePtr ReportNoMatch(const Value& declared, const Value& found,
+                         std::vector<std::vector<Fault>> all_faults);
+  void CountStep(const Place& at);
   void Complain(Place at, std::string message, Place declared = {});
 
   std::vector<Fault> faults_;
-  std::map<const Expression*, ValuePtr> done_;  // of definitions
-  std::vector<const Expression*> evaluating_;   // definitions, for cycles
-  std::size_t work_ = 0;
+  std::map<const Expression*, ValuePtr> evaluated_definitions_;  // of definitions
+  std::vector<const Expression*> evaluating_;                    // definitions, for cycles
+  std::size_t steps_ = 0;
 };
 
 // As a person would say it: `duration >=1ms`, `one of "a", "b"`, `a list`.
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -235,14 +235,15 @@
     const SourceId ids[] = {rig.merged.AddSource({"platform", 10}),
                             rig.merged.AddSource({"zone", 1, seed % 3 == 0}),
                             rig.merged.AddSource({"other", 5})};
-    std::map<std::string, std::set<std::string>> says;  // group of source to addresses
+    std::map<std::string, std::set<std::string>>
+        reported_addresses;  // group of source to addresses
     double now = 0;
     for (int step = 0; step < 150; ++step) {
       now += static_cast<double>(random() % 30) / 10;
       const std::size_t source = random() % 3;
       const std::string group = "g" + std::to_string(random() % 3);
       std::vector<Member> members;
-      auto& reported = says[std::to_string(source) + group];
+      auto& reported = reported_addresses[std::to_string(source) + group];
       reported.clear();
       for (int n = 0; n < 4; ++n) {
         if (random() % 2 == 0) continue;
@@ -254,8 +255,9 @@
       rig.merged.Take(ids[source], group, members, now);
       rig.At(now);
       std::set<std::string> all;
-      for (const auto& [who, addresses] : says) all.insert(addresses.begin(), addresses.end());
-      // What nobody says is not listed, at once.
+      for (const auto& [who, addresses] : reported_addresses)
+        all.insert(addresses.begin(), addresses.end());
+      // What no source reports is not listed, at once.
       for (const auto& [id, member] : rig.known.members) REQUIRE(all.contains(id));
       CHECK(rig.merged.endpoints() == rig.known.members.size());
       CHECK_FALSE(rig.merged.Changes(now));
