--- a/src/fleet/control_client.cpp
+++ b/src/fleet/control_client.cpp
@@ -16,13 +16,14 @@
 namespace brassfront::fleet {
 namespace {
 
-// For a whole call: longer than a command waits to be committed, so that the reply which says that
-// there is no quorum still comes.
+// Timeout of a complete request and reply. It is longer than a command waits to be committed, so
+// that a reply about a missing quorum still arrives.
 constexpr std::chrono::seconds kCallTimeout{20};
 constexpr std::size_t kReadBytes = 4096;
 constexpr mode_t kOtherUsersMask = 077;
 
-// Throws unless the socket is there, is this user's and is closed to all others.
+// Throws unless the socket exists, belongs to this user (or this user is root) and is not
+// accessible to others.
 void CheckOwnership(const std::string& folder, const std::string& path) {
   struct stat status {};
   if (stat(path.c_str(), &status) != 0) {
@@ -42,7 +43,7 @@
   Socket connection = NewControlSocket();
   const sockaddr_un address = ControlSocketAddress(folder);
   if (connect(connection.fd(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
-    throw std::runtime_error("nobody answers at " + path + ": " + std::strerror(errno));
+    throw std::runtime_error("cannot connect to " + path + ": " + std::strerror(errno));
   }
   return connection;
 }
--- a/src/fleet/control_protocol.cpp
+++ b/src/fleet/control_protocol.cpp
@@ -8,7 +8,7 @@
 namespace brassfront::fleet {
 namespace {
 
-// %XX and + as in a query.
+// Decodes %XX and + as in the query of a URL.
 std::string PercentDecode(std::string_view text) {
   std::string out;
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -22,7 +22,7 @@
   return out;
 }
 
-// Nothing if a part of the query is no NAME=VALUE.
+// Returns nothing if a part of the query is not NAME=VALUE.
 std::optional<std::map<std::string, std::string>> ParseQuery(std::string_view text) {
   std::map<std::string, std::string> query;
   while (!text.empty()) {
--- a/src/fleet/control_protocol.hpp
+++ b/src/fleet/control_protocol.hpp
@@ -1,4 +1,4 @@
-// The requests and replies of the control socket, and how a request's head is read. No I/O.
+// Requests and replies of the control socket, and the parser of a request's head. No I/O.
 #ifndef BRASSFRONT_FLEET_CONTROL_PROTOCOL_HPP_
 #define BRASSFRONT_FLEET_CONTROL_PROTOCOL_HPP_
 
@@ -20,7 +20,7 @@
   std::string body;  // JSON
 };
 
-// The statuses that the fleet replies with.
+// HTTP statuses of the replies.
 inline constexpr int kStatusOk = 200;
 inline constexpr int kStatusBadRequest = 400;
 inline constexpr int kStatusForbidden = 403;
@@ -28,11 +28,11 @@
 inline constexpr int kStatusConflict = 409;
 inline constexpr int kStatusUnavailable = 503;
 
-// `{"error": MESSAGE}`.
+// Returns a reply with the body `{"error": MESSAGE}`.
 [[nodiscard]] ControlReply ErrorReply(int status, const std::string& message);
 
-// Reads a request line with its query; header fields are not looked at. Nothing if the text is no
-// head of a GET or POST of HTTP/1.0 or 1.1.
+// Parses the request line with its query; header fields are ignored. Returns nothing if the text is
+// not the head of a GET or POST request of HTTP/1.0 or 1.1.
 [[nodiscard]] std::optional<ControlRequest> ParseControlRequest(std::string_view head);
 
 }  // namespace brassfront::fleet
--- a/src/fleet/control_server.cpp
+++ b/src/fleet/control_server.cpp
@@ -20,8 +20,8 @@
 namespace brassfront::fleet {
 namespace {
 
-// For a request to come and, anew, for its reply to go: both are on this machine, and a client that
-// stands still keeps all others waiting.
+// Timeout of receiving a request, and separately of sending its reply. It is short because both
+// sides are on this machine and a client that stalls blocks all others.
 constexpr std::chrono::milliseconds kTransferTimeout{1000};
 constexpr std::size_t kMaxHeadBytes = 8192;
 constexpr std::size_t kReadBytes = 1024;
@@ -29,7 +29,8 @@
 constexpr mode_t kOwnerOnlyMask = 0177;
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 
-// By the kernel's word, which the peer cannot forge. False if it cannot be told.
+// Uses the credentials that the kernel reports, which the peer cannot forge. Returns false if they
+// are not available.
 bool IsOwnerOrRoot(const Socket& connection) {
   ucred peer{};
   socklen_t length = sizeof peer;
@@ -37,7 +38,7 @@
   return peer.uid == geteuid() || peer.uid == 0;
 }
 
-// A request's head, or as much as came of it in time and within the bound.
+// Returns a request's head, or the part of it that arrived in time and within the size limit.
 std::string ReadHead(Socket& connection) {
   const SteadyTime deadline = std::chrono::steady_clock::now() + kTransferTimeout;
   std::string head;
@@ -102,7 +103,7 @@
     if (connection.is_open()) {
       ServeConnection(std::move(connection));
     } else {
-      Pause(kTransientPause);  // the listener stays ready while descriptors are short
+      Pause(kTransientPause);  // the listener stays readable while file descriptors are exhausted
     }
   }
 }
--- a/src/fleet/control_server.hpp
+++ b/src/fleet/control_server.hpp
@@ -1,5 +1,5 @@
-// The server of the control socket: HTTP/1.1 on a Unix socket in the state folder, for the folder's
-// owner and root alone. One request a connection, one connection at a time.
+// Server of the control socket: HTTP/1.1 on a Unix socket in the state folder, accessible only to
+// the folder's owner and root. It handles one request per connection and one connection at a time.
 #ifndef BRASSFRONT_FLEET_CONTROL_SERVER_HPP_
 #define BRASSFRONT_FLEET_CONTROL_SERVER_HPP_
 
@@ -12,16 +12,16 @@
 
 namespace brassfront::fleet {
 
-// Owns the socket and a thread, from the constructor to the destructor.
+// Owns the socket and a thread, both from construction to destruction.
 class ControlServer {
  public:
-  // Called by the server's thread; may take some seconds.
+  // Called on the server's thread; may take several seconds.
   using Handler = std::function<ControlReply(const ControlRequest&)>;
 
-  // Throws std::runtime_error where the socket cannot be made. The folder must be locked by this
-  // process: a socket that an earlier one left there is replaced.
+  // Throws std::runtime_error if the socket cannot be created. The folder must be locked by this
+  // process: a socket left there by an earlier process is replaced.
   ControlServer(const std::string& folder, Handler handler);
-  // Waits for the request that is being handled.
+  // Waits for the request that is being handled, if any.
   ~ControlServer();
   ControlServer(const ControlServer&) = delete;
   ControlServer& operator=(const ControlServer&) = delete;
--- a/src/fleet/control_socket.hpp
+++ b/src/fleet/control_socket.hpp
@@ -1,4 +1,4 @@
-// Where the control socket of a state folder is. Shared by its server and its client.
+// Location of the control socket of a state folder. Shared by its server and its client.
 #ifndef BRASSFRONT_FLEET_CONTROL_SOCKET_HPP_
 #define BRASSFRONT_FLEET_CONTROL_SOCKET_HPP_
 
@@ -11,12 +11,14 @@
 namespace brassfront::fleet {
 
 [[nodiscard]] std::string ControlSocketPath(const std::string& folder);
-// For ControlSocketAddress; closed if the folder cannot be opened, and errno tells why.
+// Opens the folder for ControlSocketAddress. The result is closed if that fails; errno has the
+// reason.
 [[nodiscard]] Socket OpenControlFolder(const std::string& folder);
-// The socket's address by way of the open folder: its path may be longer than the 107 bytes that an
-// address holds. Valid while the folder is open.
+// Returns the socket's address relative to the open folder, since the socket's path may be longer
+// than the 107 bytes that a socket address can hold. Valid while the folder is open.
 [[nodiscard]] sockaddr_un ControlSocketAddress(const Socket& folder);
-// A stream socket that is neither bound nor connected; closed if the system has none left.
+// Creates a stream socket that is neither bound nor connected. It is closed if the system has no
+// file descriptor left.
 [[nodiscard]] Socket NewControlSocket();
 
 }  // namespace brassfront::fleet
--- a/src/fleet/duty_executor.cpp
+++ b/src/fleet/duty_executor.cpp
@@ -12,14 +12,14 @@
 using observe::Level;
 using std::chrono::milliseconds;
 
-// Between two looks at what the forwarder does; a duty is reported to be done with this delay at
-// most.
+// Interval of the checks of the forwarder's state, and so the maximum delay before the completion
+// of a duty is reported.
 constexpr peers::Time kDutyInterval = milliseconds(100);
-// Counts as drained after so long in standby at the earliest: clients that are told so with their
-// next PING have gone elsewhere by then.
+// Minimum time in standby before the forwarder counts as drained. Clients learn of the standby in
+// the reply to their next PING and have moved to another forwarder by then.
 constexpr peers::Time kMinStandbyDuration = milliseconds(1500);
-// With which the policy is told that an endpoint serves again: the fleet has committed it, so it is
-// to bind like the word of two members.
+// Number of witnesses in the report to the policy that an endpoint is back in service. The fleet
+// has committed this state, so it counts like reports of two members.
 constexpr std::size_t kWitnessesOfCommittedState = 2;
 
 }  // namespace
@@ -56,8 +56,8 @@
 void DutyExecutor::ObserveForwarder(Time now) {
   local_.drained = local_.standing_by && now - standby_since_ >= kMinStandbyDuration &&
                    forwarder_.messages_in_flight() == 0;
-  // A process that is about to end takes no more clients: if its machine is brought back meanwhile,
-  // only the next process may report that it serves.
+  // A process that is about to exit accepts no more clients. If its machine is brought back in the
+  // meantime, only the next process may report that it is serving.
   local_.serving = !local_.standing_by && forwarder_.keeps_running();
 }
 
@@ -74,7 +74,7 @@
     if (!endpoints.contains(endpoint)) readmitted.push_back(endpoint);
   }
   requested_exclusions_ = endpoints;
-  // Until the engine has taken up the new set, only what both sets have is certain.
+  // Until the engine has applied the new set, only endpoints in both sets are certainly excluded.
   std::erase_if(local_.banned,
                 [&](const std::string& endpoint) { return !endpoints.contains(endpoint); });
   exclusions_.SetExcluded(ExclusionSource::kFleet, endpoints, forwarder_.set_endpoints);
--- a/src/fleet/duty_executor.hpp
+++ b/src/fleet/duty_executor.hpp
@@ -1,5 +1,6 @@
-// Carries out on this forwarder what the committed maintenance state asks of it: standing by while
-// the machine is in maintenance, and keeping endpoints in maintenance out of the engine's list.
+// Carries out the duties of this forwarder that follow from the committed maintenance state: it
+// puts the forwarder in standby while its machine is in maintenance, and excludes endpoints in
+// maintenance from the engine's list.
 #ifndef BRASSFRONT_FLEET_DUTY_EXECUTOR_HPP_
 #define BRASSFRONT_FLEET_DUTY_EXECUTOR_HPP_
 
@@ -16,27 +17,28 @@
 
 namespace brassfront::fleet {
 
-// For the fleet's thread, once that runs.
+// Used only by the fleet's thread once that thread is running.
 class DutyExecutor {
  public:
   using Time = peers::Time;
-  // Called by the engine's thread once it starts nothing more at these endpoints; must bring them
-  // to the fleet's thread, which calls ConfirmExclusions.
+  // Called on the engine's thread once no more calls are started to these endpoints. The function
+  // must pass them to the fleet's thread, which calls ConfirmExclusions.
   using OnExclusionsApplied = std::function<void(std::set<std::string> endpoints)>;
 
-  // The references must outlive this object. `forwarder` is used from the first Execute on.
+  // The references must outlive this object. `forwarder` is first used by Execute.
   DutyExecutor(std::string self, const LocalIdentity& identity, const ForwarderControl& forwarder,
                EndpointExclusions& exclusions, OnExclusionsApplied on_exclusions_applied);
 
-  // Excludes what an earlier process knew to be in maintenance, before the engine gets its first
-  // list.
+  // Excludes the endpoints that are in maintenance according to the state that an earlier process
+  // stored. To be called before the engine receives its first list.
   void RestoreExclusions(const maintenance::MaintenanceState& state);
 
-  // At an interval, and at once after MakeDue: does what the state asks for, and returns what this
-  // member has to submit to the leader, again and again until the state shows it.
+  // Carries out the duties that follow from the state, at an interval and at once after MakeDue.
+  // Returns the commands that this member has to submit to the leader; each is returned repeatedly
+  // until the state reflects it.
   [[nodiscard]] std::vector<maintenance::Command> Execute(
       const maintenance::MaintenanceState& state, Time now);
-  // The state has changed.
+  // To be called when the state has changed.
   void MakeDue() { timer_.MakeDue(); }
   [[nodiscard]] Time Next() const { return timer_.next(); }
 
--- a/src/fleet/event_inbox.hpp
+++ b/src/fleet/event_inbox.hpp
@@ -14,25 +14,25 @@
 
 namespace brassfront::fleet {
 
-// Any thread may push; one thread polls the descriptor and handles.
+// Any thread may push events; one thread polls the descriptor and handles them.
 template <typename Event>
 class EventInbox {
  public:
   explicit EventInbox(std::size_t capacity) : queue_(capacity) {}
 
-  // Makes the descriptor. Throws std::runtime_error if the system has none left.
+  // Creates the descriptor. Throws std::runtime_error if the system has none left.
   void Open() {
     wakeup_ = Socket(eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK));
-    if (!wakeup_.is_open()) throw std::runtime_error("no room for a descriptor");
+    if (!wakeup_.is_open()) throw std::runtime_error("cannot create an event descriptor");
   }
-  // Readable when there are events.
+  // Readable when the inbox contains events.
   [[nodiscard]] int fd() const { return wakeup_.fd(); }
 
-  // Waits while the inbox is full. Once it is closed, the event is destroyed.
+  // Waits while the inbox is full. An event pushed after Close is destroyed.
   void Push(Event event) {
     if (queue_.Push(std::move(event))) eventfd_write(wakeup_.fd(), 1);
   }
-  // Hands over all events that are there; does not wait.
+  // Passes all queued events to the handler; does not wait for further ones.
   template <typename Handler>
   void HandleAll(const Handler& handler) {
     eventfd_t count = 0;
@@ -41,7 +41,7 @@
       handler(*event);
     }
   }
-  // Destroys what is there, and from now on all that is pushed.
+  // Destroys all queued events and any that are pushed later.
   void Close() {
     queue_.Close();
     while (queue_.Pop()) {
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -20,14 +20,14 @@
 using peers::Time;
 using std::chrono::milliseconds;
 
-// Events that other threads may push before they have to wait.
+// Number of queued events beyond which a thread that pushes one has to wait.
 constexpr std::size_t kInboxCapacity = 64;
-// A core's estimate of when it is due may be as far off as this.
+// Maximum wait, since a component's estimate of when it is next due may be too late by this much.
 constexpr Time kMaxPollWait = milliseconds(250);
 
 Time Now() { return std::chrono::steady_clock::now().time_since_epoch(); }
 
-// The outcome shows in the committed state; a command that was lost is submitted again.
+// The outcome is visible in the committed state; a lost command is submitted again.
 void IgnoreOutcome(consensus::RaftNode::Outcome) {}
 
 }  // namespace
@@ -70,7 +70,8 @@
   transport_.Open(address);
   inbox_.Open();
   replicated_log_.Start();
-  // Its commands are due again at the next turn, when there is somebody to send them to.
+  // The returned commands are dropped: they are due again in the next iteration of the thread's
+  // loop, when there are peers to send them to.
   static_cast<void>(duty_executor_.Execute(known_state_.get(), Now()));
   control_server_ = std::make_unique<ControlServer>(
       folder_, [this](const ControlRequest& request) { return HandleControlRequest(request); });
@@ -89,7 +90,7 @@
   if (!thread_.started()) return;
   inbox_.Push(StopRequested{});
   thread_.Join();
-  // Breaks the promises that the control server's thread waits for.
+  // These calls break the promises that the control server's thread is waiting for.
   inbox_.Close();
   operator_requests_.Abandon();
   control_server_.reset();
@@ -111,8 +112,8 @@
 void Fleet::Run() {
   while (!stopping_) {
     const Readiness ready = WaitForInput();
-    // First what is due: a process that was suspended must notice that before it reads what came
-    // meanwhile.
+    // Timers run first: a process that was suspended must detect this before it reads the frames
+    // that arrived in the meantime.
     const Time now = Now();
     failure_detector_.Tick(now);
     replicated_log_.Tick(now);
@@ -201,8 +202,8 @@
   }
 }
 
-// A command that another member submits to the leader. It gets no reply: the member sees the result
-// in the committed state, and submits the command again as long as it does not.
+// Handles a command that another member submits to the leader. There is no reply: the member
+// submits the command repeatedly until it sees the result in the committed state.
 void Fleet::HandleForwardedCommand(const peers::Frame& frame) {
   if (!replicated_log_.is_leader() || !maintenance::Command::Decode(frame.body)) return;
   replicated_log_.Propose(frame.body, IgnoreOutcome);
@@ -241,7 +242,8 @@
 
 // ======== the committed state ========
 
-// From this member's own log or from the leader. The duty that follows is done in this turn.
+// Adopts a state from this member's own log or from the leader. The resulting duties are carried
+// out in the same iteration of the loop.
 void Fleet::AdoptState(const maintenance::MaintenanceState& state) {
   if (known_state_.Update(state)) duty_executor_.MakeDue();
 }
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -1,6 +1,6 @@
-// A forwarder's membership in a fleet: wires the parts that members share (failure detection, the
-// replicated log, maintenance, quota leases, health reports) to one thread, a datagram socket and a
-// control socket. It decides nothing itself.
+// A forwarder's membership in a fleet. It connects the components that members have in common
+// (failure detection, the replicated log, maintenance, quota leases, health reports) to one thread,
+// a datagram socket and a control socket. The components make all decisions.
 #ifndef BRASSFRONT_FLEET_FLEET_HPP_
 #define BRASSFRONT_FLEET_FLEET_HPP_
 
@@ -34,30 +34,32 @@
 
 class Fleet {
  public:
-  // `self` is this forwarder's name in the roster; the folder is its own. Reads the roster, locks
-  // the folder and counts a start in it. Throws records::BadRecords and std::runtime_error.
+  // `self` is this forwarder's name in the roster; `folder` is the forwarder's state folder. Reads
+  // the roster, locks the folder and increments the process incarnation stored in it. Throws
+  // records::BadRecords and std::runtime_error.
   Fleet(std::string roster_path, const std::string& self, const std::string& folder,
         std::uint64_t seed, EndpointExclusions& exclusions);
   ~Fleet();
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  // To be told of each list of endpoints on its way to the engine. Any thread.
+  // To be called with each endpoint list that is passed to the engine. Any thread may call.
   void OnEndpointList(const MemberList& list);
 
-  // What the engine has to notify of its calls; nullptr: the roster shares neither limits nor
-  // health reports. Valid as long as the fleet.
+  // Observer that the engine has to notify of its calls; nullptr if the roster shares neither
+  // limits nor health reports. Valid for the lifetime of this object.
   [[nodiscard]] CallObserver* call_observer() { return sharing_.get(); }
 
-  // Opens the sockets and starts the thread. Before it returns, the forwarder is in standby if the
-  // last known state says that its machine is in maintenance. The functions of `forwarder` must
-  // work until Stop returns. Throws std::runtime_error.
+  // Opens the sockets and starts the thread. If the machine is in maintenance according to the last
+  // known state, the forwarder is in standby before this function returns. The functions of
+  // `forwarder` must remain callable until Stop returns. Throws std::runtime_error.
   void Start(ForwarderControl forwarder);
-  // Reads the roster again. One that is invalid or changes too much changes nothing and leaves a
-  // line in the log. Any thread; does not wait for it.
+  // Requests that the fleet's thread read the roster again, and returns without waiting. A roster
+  // that is invalid, or changes more than a reload may change, is logged and ignored. Any thread
+  // may call.
   void ReloadRoster();
-  // Tells the peers that this forwarder leaves, and ends the thread. Operators who wait for a reply
-  // get an error. The owner's thread.
+  // Notifies the peers that this forwarder is leaving, and ends the thread. Pending operator
+  // requests get an error reply. To be called on the owner's thread.
   void Stop();
 
  private:
@@ -66,7 +68,7 @@
   // ---- events from other threads ----
   struct RosterReloadRequested {};
   struct StopRequested {};
-  // The engine starts nothing more at these endpoints.
+  // The engine starts no more calls to these endpoints.
   struct ExclusionsApplied {
     std::set<std::string> endpoints;
   };
@@ -101,19 +103,19 @@
 
   [[nodiscard]] std::string KnownLeader() const;
   [[nodiscard]] MemberView View() const;
-  // Called by the control server's thread; waits for the fleet's thread to reply.
+  // Called on the control server's thread; waits for the reply of the fleet's thread.
   [[nodiscard]] ControlReply HandleControlRequest(const ControlRequest& request);
 
   const std::string folder_;
   const std::string self_name_;
   RosterWatcher roster_;
   LocalIdentity local_identity_;
-  EndpointExclusions& exclusions_;    // any thread
-  std::unique_ptr<Sharing> sharing_;  // any thread; nullptr: the roster has no such part
+  EndpointExclusions& exclusions_;    // thread-safe
+  std::unique_ptr<Sharing> sharing_;  // thread-safe; nullptr: the roster shares nothing
   ForwarderControl forwarder_;
-  EventInbox<Event> inbox_;  // any thread
+  EventInbox<Event> inbox_;  // thread-safe
 
-  // Of the fleet's thread, once that runs.
+  // Used only by the fleet's thread once that thread is running.
   peers::FailureDetector failure_detector_;
   PeerTransport transport_;
   MaintenanceLeadership leadership_;
--- a/src/fleet/health_traffic.cpp
+++ b/src/fleet/health_traffic.cpp
@@ -11,9 +11,9 @@
 using dispatch_policy::PeerHealth;
 using verdicts::HealthAdvice;
 
-// Between two looks at the ages of reports; these count in seconds.
+// Interval of the checks for expired reports, whose lifetimes are in the order of seconds.
 constexpr peers::Time kTableTickInterval = std::chrono::milliseconds(250);
-// Shorter waits are over before peers could profit from them.
+// Shorter waits end before peers could make use of a report about them.
 constexpr peers::Time kMinSharedRetryAfter = std::chrono::seconds(1);
 
 verdicts::Settings TableSettings(const peers::Sharing& sharing) {
--- a/src/fleet/health_traffic.hpp
+++ b/src/fleet/health_traffic.hpp
@@ -1,7 +1,7 @@
-// Health reports on endpoints between this member's calls, the report table and the frames of its
-// peers.
+// Connects this member's calls and the frames of its peers to the table of health reports on
+// endpoints.
 //
-// A core: no I/O, no clock, no threads. Sharing owns it and guards it by its mutex.
+// No I/O, no clock, no threads. Sharing owns this object and guards it with its mutex.
 #ifndef BRASSFRONT_FLEET_HEALTH_TRAFFIC_HPP_
 #define BRASSFRONT_FLEET_HEALTH_TRAFFIC_HPP_
 
@@ -24,18 +24,18 @@
 
   HealthTraffic(const peers::Roster& roster, std::string self, std::uint64_t process_incarnation);
 
-  // What a call of this member's shows of its endpoint.
+  // Records the evidence that one of this member's calls gives about its endpoint.
   void OnCallCompleted(const CallCompleted& call, Time now);
 
-  // A frame of kind kWords.
+  // Handles a frame of kind kWords.
   void Receive(const peers::Frame& frame, Time now);
-  // Members that are heard, this one too.
+  // Sets the members that are alive or suspect, including this one.
   void SetPresent(std::vector<std::string> present) { table_.SetPresent(std::move(present)); }
-  // Drops reports that are too old, and sends this member's own ones if they are due.
+  // Drops expired reports, and sends this member's own reports if they are due.
   void Tick(Time now, std::vector<OutgoingFrame>& out);
   [[nodiscard]] Time Next() const;
 
-  // For the policy: what other members' reports come to since the last call.
+  // Returns updates for the policy that result from other members' reports since the last call.
   [[nodiscard]] std::vector<EndpointUpdate> TakeEndpointUpdates();
 
   [[nodiscard]] const verdicts::HealthReportTable& table() const { return table_; }
--- a/src/fleet/known_state.cpp
+++ b/src/fleet/known_state.cpp
@@ -17,7 +17,8 @@
   std::ifstream file(path_, std::ios::binary);
   const std::string stored{std::istreambuf_iterator<char>(file), {}};
   if (!stored.empty() && !state_.Load(stored)) {
-    observe::Log(Concern::kFleet, Level::kWarning, "kept state cannot be read, asked for anew");
+    observe::Log(Concern::kFleet, Level::kWarning,
+                 "stored maintenance state cannot be read, requesting it from the leader");
   }
 }
 
@@ -26,7 +27,7 @@
   const maintenance::MaintenanceState before = std::exchange(state_, newer);
   LogChangesSince(before);
   if (!peers::WriteAtomically(path_, state_.Save())) {
-    observe::LogSeldom(Concern::kFleet, Level::kError, "settled state cannot be kept");
+    observe::LogSeldom(Concern::kFleet, Level::kError, "maintenance state cannot be stored");
   }
   return true;
 }
--- a/src/fleet/known_state.hpp
+++ b/src/fleet/known_state.hpp
@@ -1,5 +1,5 @@
-// The newest committed maintenance state that this member knows, from its own log or from the
-// leader, kept in a file for the next start.
+// The newest committed maintenance state that this member has received, from its own log or from
+// the leader. It is stored in a file for the next start.
 #ifndef BRASSFRONT_FLEET_KNOWN_STATE_HPP_
 #define BRASSFRONT_FLEET_KNOWN_STATE_HPP_
 
@@ -9,16 +9,16 @@
 
 namespace brassfront::fleet {
 
-// For the fleet's thread, once that runs.
+// Used only by the fleet's thread once that thread is running.
 class KnownState {
  public:
-  // Loads the file `known` of the folder. A file that cannot be read is logged and ignored: the
-  // leader is asked for the state.
+  // Loads the file `known` in the folder. A file that cannot be read is logged and ignored; the
+  // state is then requested from the leader.
   explicit KnownState(const std::string& folder);
 
   [[nodiscard]] const maintenance::MaintenanceState& get() const { return state_; }
-  // Takes up a state if it is newer: logs each request whose state differs, and writes the file.
-  // True if it was newer.
+  // Adopts a state if it is newer: logs each request whose state differs, and writes the file.
+  // Returns whether the state was newer.
   bool Update(const maintenance::MaintenanceState& newer);
 
  private:
--- a/src/fleet/lease_traffic.cpp
+++ b/src/fleet/lease_traffic.cpp
@@ -11,11 +11,11 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t kMaxEndpointsPerLimit = 64;
-// Share of a rate by which the policy paces itself. A call that is held back at its first byte
-// costs an attempt, so the policy stays a little below what the lease allows.
+// Share of the leased rate at which the policy paces its calls. A call that is refused just before
+// its first byte costs an attempt, so the policy stays slightly below the lease.
 constexpr double kPolicyRateShare = 0.98;
-// Between two turns of the lease holder, so that a request that is due but cannot be sent does not
-// keep the fleet's thread busy.
+// Minimum interval of wake-ups for the lease holder, so that a request that is due but cannot be
+// sent does not keep the fleet's thread busy.
 constexpr peers::Time kMinTurnInterval = milliseconds(50);
 
 std::string KeyOf(const CallTarget& target) {
@@ -49,8 +49,8 @@
 
 // ======== this member's calls ========
 
-// Endpoints are known before their first call, so that calls are paced from the start and are not
-// held back at their first byte.
+// Registers endpoints before their first call, so that their calls are paced from the start instead
+// of being refused just before the first byte.
 void LeaseTraffic::OnEndpointList(const MemberList& list) {
   for (const Member& member : list.members) {
     const std::string key = quota::KeyOf(member.destination);
@@ -69,7 +69,8 @@
 bool LeaseTraffic::AllowsCall(const CallTarget& target, Time now) {
   const std::string key = KeyOf(target);
   RecordEndpoint(key, target);
-  // What arrives for a destination says nothing of an endpoint that has a limit of its own.
+  // Messages for a destination do not indicate the demand of an endpoint with its own limit, so the
+  // call itself is counted as demand.
   if (target.has_own_rate_limit) holder_.OnDemand(key, now);
   return holder_.TryAcquire(key, now);
 }
@@ -79,7 +80,7 @@
 }
 
 void LeaseTraffic::RecordEndpoint(const std::string& key, const CallTarget& target) {
-  // An endpoint with a limit of its own has no part in its destination's limit.
+  // An endpoint with its own limit does not count towards its destination's limit.
   if (target.has_own_rate_limit) {
     endpoints_by_key_[quota::KeyOf(target.destination)].erase(target.endpoint);
   }
--- a/src/fleet/lease_traffic.hpp
+++ b/src/fleet/lease_traffic.hpp
@@ -1,6 +1,7 @@
-// Quota leases between this member's calls, the lease cores and the frames of its peers.
+// Connects this member's calls and the frames of its peers to the holder and the grantor of quota
+// leases.
 //
-// A core: no I/O, no clock, no threads. Sharing owns it and guards it by its mutex.
+// No I/O, no clock, no threads. Sharing owns this object and guards it with its mutex.
 #ifndef BRASSFRONT_FLEET_LEASE_TRAFFIC_HPP_
 #define BRASSFRONT_FLEET_LEASE_TRAFFIC_HPP_
 
@@ -30,25 +31,27 @@
   void OnEndpointList(const MemberList& list);
   void OnDemand(std::uint64_t destination, Time now);
   [[nodiscard]] bool AllowsCall(const CallTarget& target, Time now);
-  // The endpoint counts for the limit of its destination, or for its own one. Updates about that
-  // limit go to it.
+  // Assigns the endpoint to its own limit, or else to that of its destination, so that it receives
+  // updates about that limit.
   void RecordEndpoint(const CallTarget& target);
   void OnLimitReported(const CallTarget& target, double limit, Time now);
 
   // ---- peers ----
-  // `leads`: this member leads the replicated log, so that it grants. A leader that was suspended
-  // for as long as an election takes may have lost the lead without knowing: it starts over, and
-  // grants nothing at first.
+  // `leads`: this member leads the replicated log and therefore grants leases. A leader that was
+  // suspended for longer than the election timeout may have lost leadership without noticing. It
+  // starts over as a new grantor, which at first grants nothing.
   void SetLeadership(bool leads, Time now);
-  // A frame of kind kWant or kGrant. A grant counts only from the member that was asked.
+  // Handles a frame of kind kWant or kGrant. A grant is accepted only from the member that the last
+  // request was sent to.
   void Receive(const peers::Frame& frame, Time now, std::vector<OutgoingFrame>& out);
-  // Sends a request for leases if one is due. An empty leader: none is known.
+  // Sends a request for leases if one is due. `leader` is empty if no leader is known.
   void RequestLeases(const std::string& leader, Time now, std::vector<OutgoingFrame>& out);
-  // No earlier than shortly after the last SetLeadership.
+  // At least a minimum interval after the last SetLeadership.
   [[nodiscard]] Time Next() const;
   void SetRoster(const peers::Roster& roster, Time now);
 
-  // For the policy: the rates that have changed since the last call, for each endpoint concerned.
+  // Returns updates for the policy: the rates that have changed since the last call, for each
+  // endpoint concerned.
   [[nodiscard]] std::vector<EndpointUpdate> TakeEndpointUpdates(Time now);
 
   [[nodiscard]] const quota::LeaseHolder& holder() const { return holder_; }
@@ -70,7 +73,7 @@
   Time leadership_checked_at_{};
 };
 
-// The lease settings that a roster comes to.
+// Returns the lease settings that result from a roster.
 [[nodiscard]] quota::LeaseSettings LeaseSettingsFrom(const peers::Roster& roster);
 
 }  // namespace brassfront::fleet
--- a/src/fleet/local_identity.cpp
+++ b/src/fleet/local_identity.cpp
@@ -26,9 +26,9 @@
   std::uint64_t value = 0;
   while (value == 0) {
     if (getrandom(&value, sizeof value, 0) != sizeof value) {
-      throw std::runtime_error("the system gives no random bytes");
+      throw std::runtime_error("cannot get random bytes from the system");
     }
-    value >>= 1;  // libraft takes ids above 0
+    value >>= 1;  // libraft accepts only ids above 0
   }
   return value;
 }
@@ -53,14 +53,14 @@
     case FileLock::Outcome::kHeld:
       return;
     case FileLock::Outcome::kTaken:
-      throw std::runtime_error("another process holds " + folder_);
+      throw std::runtime_error("another process has locked " + folder_);
     case FileLock::Outcome::kUnsupported:
     case FileLock::Outcome::kFailed:
       throw std::runtime_error("cannot lock " + folder_ + ": " + std::strerror(errno));
   }
 }
 
-// False if there is no identity, or one that is torn or damaged.
+// Returns false if there is no identity, or if it is incomplete or damaged.
 bool LocalIdentity::Read() {
   std::ifstream file(folder_ + "/member");
   std::string tag;
--- a/src/fleet/maintenance_commands.cpp
+++ b/src/fleet/maintenance_commands.cpp
@@ -15,16 +15,16 @@
 
 using ParsedCommand = std::variant<Command, CommandError>;
 
-constexpr std::size_t kMaxNameBytes = 128;  // more than any member's name or endpoint's id has
+constexpr std::size_t kMaxNameBytes = 128;  // longer than any member name or endpoint id
 
-// nullptr: it is not given, or is empty.
+// Returns nullptr if the parameter is missing or empty.
 const std::string* FindParameter(const ControlRequest& request, const char* name) {
   const auto parameter = request.query.find(name);
   if (parameter == request.query.end() || parameter->second.empty()) return nullptr;
   return &parameter->second;
 }
 
-// What all commands have: kind, token and name.
+// Reads the parameters of all commands: kind, token and name.
 std::optional<CommandError> ReadCommonParameters(const ControlRequest& request, Command& command) {
   if (const std::string* kind = FindParameter(request, "kind")) {
     if (*kind != "machine" && *kind != "endpoint") {
--- a/src/fleet/maintenance_commands.hpp
+++ b/src/fleet/maintenance_commands.hpp
@@ -1,4 +1,4 @@
-// Reads an operator's control request as a command of the maintenance state. No I/O.
+// Parses an operator's control request into a command for the maintenance state. No I/O.
 #ifndef BRASSFRONT_FLEET_MAINTENANCE_COMMANDS_HPP_
 #define BRASSFRONT_FLEET_MAINTENANCE_COMMANDS_HPP_
 
@@ -11,10 +11,10 @@
 
 namespace brassfront::fleet {
 
-// Paths of commands begin with this.
+// Prefix of the paths of commands.
 inline constexpr std::string_view kMaintenancePath = "/fleet/maintenance/";
 
-// What is wrong with a request, for the operator.
+// Describes to the operator what is wrong with a request.
 struct CommandError {
   std::string message;
 };
--- a/src/fleet/maintenance_leadership.hpp
+++ b/src/fleet/maintenance_leadership.hpp
@@ -1,5 +1,5 @@
-// What a member does as long as it leads the replicated log: it feeds the maintenance scheduler
-// with what it observes and proposes the scheduler's commands, one at a time.
+// Work of the member that leads the replicated log: it passes its observations to the maintenance
+// scheduler and proposes the scheduler's commands, one at a time.
 #ifndef BRASSFRONT_FLEET_MAINTENANCE_LEADERSHIP_HPP_
 #define BRASSFRONT_FLEET_MAINTENANCE_LEADERSHIP_HPP_
 
@@ -15,23 +15,23 @@
 
 namespace brassfront::fleet {
 
-// Owned and called by the fleet's thread. Must outlive the log that it proposes to.
+// Used only by the fleet's thread. Must outlive the log that it proposes to.
 class MaintenanceLeadership {
  public:
   using Time = peers::Time;
 
-  // This member, as its own scheduler sees it.
+  // This member, as its scheduler observes it.
   struct Self {
     std::string name;
     std::uint64_t process_incarnation = 0;
     std::uint64_t messages_in_flight = 0;
   };
 
-  // Messages in flight at another member, as it says.
+  // Sets the number of messages in flight that another member reports.
   void SetReportedLoad(const std::string& member, std::uint64_t messages_in_flight) {
     reported_loads_[member] = messages_in_flight;
   }
-  // Notices that leadership begins or ends, and proposes the next command if none is in flight.
+  // Detects the start and end of leadership, and proposes the next command if none is in flight.
   void Update(ReplicatedLog& log, const peers::Roster& roster,
               const peers::FailureDetector& failure_detector, const Self& self, Time now);
 
--- a/src/fleet/operator_requests.cpp
+++ b/src/fleet/operator_requests.cpp
@@ -13,9 +13,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Within it an election ends and the command is committed, unless there is no quorum.
+// Long enough for an election to end and the command to be committed, unless there is no quorum.
 constexpr peers::Time kCommandTimeout = seconds(5);
-// Between two submissions of a command whose result has not been seen.
+// Interval of the submissions of a command whose result has not yet been seen.
 constexpr peers::Time kCommandRetryInterval = milliseconds(300);
 
 ControlReply AnswerQuery(const ControlRequest& request, const MemberView& view,
@@ -31,7 +31,8 @@
   return ErrorReply(kStatusNotFound, "nothing is at " + request.path);
 }
 
-// Differs between folders and from one command to the next. 0 stands for no token.
+// Returns a token that differs between folders and between commands. It is never 0, which means
+// that there is no token.
 std::uint64_t MakeToken(std::uint64_t identity, peers::Time now) {
   const std::uint64_t token =
       peers::ProcessIncarnationOf(identity) ^ static_cast<std::uint64_t>(now.count());
--- a/src/fleet/operator_requests.hpp
+++ b/src/fleet/operator_requests.hpp
@@ -1,5 +1,5 @@
-// What operators ask by the control socket: queries are answered at once, commands are submitted to
-// the leader until the committed state has their result or their time is over.
+// Operators' requests on the control socket. Queries are answered at once; commands are submitted
+// to the leader repeatedly until the committed state contains their result or they time out.
 #ifndef BRASSFRONT_FLEET_OPERATOR_REQUESTS_HPP_
 #define BRASSFRONT_FLEET_OPERATOR_REQUESTS_HPP_
 
@@ -22,22 +22,22 @@
   std::promise<ControlReply> reply;
 };
 
-// Owned and called by the fleet's thread.
+// Used only by the fleet's thread.
 class OperatorRequests {
  public:
   using Time = peers::Time;
-  // Sends a command to the leader. It may get lost: the command is submitted again.
+  // Sends a command to the leader. The command may get lost; it is then submitted again.
   using Submit = std::function<void(const maintenance::Command&)>;
 
-  // Replies to a query, and to what cannot be read; a command becomes pending. `sharing` is nullptr
-  // if the roster has none. A command without a token gets one from `identity`, the folder's, and
-  // the time.
+  // Replies at once to a query or an invalid request; a command becomes pending. `sharing` is
+  // nullptr if the roster shares nothing. A command without a token gets one derived from
+  // `identity`, the identity of the folder, and the time.
   void Accept(ReceivedControlRequest received, const MemberView& view, const Sharing* sharing,
               std::uint64_t identity, Time now);
-  // Replies to the commands that have a result, and to those whose time is over; submits others
-  // that are due. True if any was submitted.
+  // Replies to the commands that have a result or have timed out, and submits others that are due.
+  // Returns whether any command was submitted.
   bool Advance(const MemberView& view, const Submit& submit, Time now);
-  // Drops all pending commands: whoever waits for a reply gets a broken promise.
+  // Drops all pending commands, which breaks the promises of their replies.
   void Abandon() { pending_.clear(); }
 
  private:
--- a/src/fleet/outgoing_frame.hpp
+++ b/src/fleet/outgoing_frame.hpp
@@ -1,4 +1,4 @@
-// A frame's body on its way to a peer, before the sender's identity is put to it.
+// An outgoing frame to which the sender's identity has not been added yet.
 #ifndef BRASSFRONT_FLEET_OUTGOING_FRAME_HPP_
 #define BRASSFRONT_FLEET_OUTGOING_FRAME_HPP_
 
--- a/src/fleet/peer_change_log.cpp
+++ b/src/fleet/peer_change_log.cpp
@@ -10,8 +10,9 @@
 using observe::Concern;
 using observe::Level;
 
-// Times that a member's former identity was heard again before it counts as a duplicate. A member
-// that lost its folder causes one, and a late frame of its former process one more.
+// Number of changes back to a member's earlier identity from which its name counts as used by two
+// processes. A member that lost its folder causes one, and a late frame of its earlier process
+// another one.
 constexpr std::size_t kMinIdentityFlipsOfDuplicate = 3;
 
 void LogChange(const peers::FailureDetector::Change& change) {
--- a/src/fleet/peer_change_log.hpp
+++ b/src/fleet/peer_change_log.hpp
@@ -1,4 +1,4 @@
-// The lines of the log that tell how the other members fare.
+// Logs state changes of the other members.
 #ifndef BRASSFRONT_FLEET_PEER_CHANGE_LOG_HPP_
 #define BRASSFRONT_FLEET_PEER_CHANGE_LOG_HPP_
 
@@ -9,10 +9,10 @@
 
 namespace brassfront::fleet {
 
-// Owned and called by the fleet's thread.
+// Used only by the fleet's thread.
 class PeerChangeLog {
  public:
-  // Logs what has changed since the last call, and each name that two processes use, once.
+  // Logs the changes since the last call. Each name that two processes use is logged once.
   void Write(peers::FailureDetector& failure_detector);
 
  private:
--- a/src/fleet/peer_transport.cpp
+++ b/src/fleet/peer_transport.cpp
@@ -19,12 +19,13 @@
 using observe::Level;
 using peers::Time;
 
-// Read at one wake-up, so that a flood of datagrams cannot keep the cores from their timers.
+// Maximum number of datagrams read per wake-up, so that a flood of datagrams does not delay timers.
 constexpr int kMaxDatagramsPerWakeup = 256;
-// Between two lines about dropped frames of one sender, so that a sender cannot fill the log.
+// Minimum interval of log lines about dropped frames of one sender, so that no sender can fill the
+// log.
 constexpr Time kDroppedFrameLogInterval = std::chrono::minutes(1);
 
-// The roster's schema admits IPv4:PORT alone.
+// The roster's schema accepts only IPv4:PORT.
 sockaddr_in ParseSocketAddress(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   sockaddr_in address{};
@@ -45,7 +46,8 @@
     return socket_.is_open();
   });
   if (!bound) {
-    throw std::runtime_error("cannot take datagrams at " + address + ": " + std::strerror(errno));
+    throw std::runtime_error("cannot bind the datagram socket to " + address + ": " +
+                             std::strerror(errno));
   }
   SetNonBlocking(socket_);
 }
@@ -66,8 +68,8 @@
   }
 }
 
-// All senders that claim a name which the roster does not have count as one: names are free to
-// invent, and must not fill the log or the map.
+// All claimed senders that are not in the roster count as one: names can be invented freely, and
+// must not fill the log or the map.
 void PeerTransport::RecordDroppedFrame(peers::Drop reason, const std::string& claimed_sender,
                                        Time now) {
   const std::uint64_t dropped = ++dropped_frames_[reason];
@@ -89,7 +91,7 @@
     return;
   }
   const sockaddr_in address = ParseSocketAddress(to->address);
-  // What does not go out now is as good as lost, which every core bears.
+  // A frame that cannot be sent now is dropped; every receiver tolerates lost frames.
   sendto(socket_.fd(), bytes.data(), bytes.size(), MSG_DONTWAIT,
          reinterpret_cast<const sockaddr*>(&address), sizeof address);
 }
--- a/src/fleet/peer_transport.hpp
+++ b/src/fleet/peer_transport.hpp
@@ -1,7 +1,7 @@
-// The datagram socket between the members of a fleet: signed frames in and out.
+// Sends and receives signed frames on the datagram socket between the members of a fleet.
 //
-// No retransmission and no order: every core that is fed by it bears lost, repeated and reordered
-// frames.
+// There is no retransmission and no ordering: every component that receives frames tolerates lost,
+// repeated and reordered ones.
 #ifndef BRASSFRONT_FLEET_PEER_TRANSPORT_HPP_
 #define BRASSFRONT_FLEET_PEER_TRANSPORT_HPP_
 
@@ -17,23 +17,23 @@
 
 namespace brassfront::fleet {
 
-// Owned and called by the fleet's thread, but for Open.
+// Used only by the fleet's thread, except for Open.
 class PeerTransport {
  public:
-  // The roster must outlive this object. It may change between two calls: addresses, the fleet's
-  // name and its key are read from it for each frame.
+  // The roster must outlive this object. It may change between calls: the addresses, the fleet's
+  // name and its key are read for each frame.
   PeerTransport(const peers::Roster& roster, std::string self);
 
   // Binds the socket to this member's address. Throws std::runtime_error.
   void Open(const std::string& address);
-  // For poll: readable when a datagram has come.
+  // Descriptor for poll; readable when a datagram has arrived.
   [[nodiscard]] int fd() const { return socket_.fd(); }
 
-  // Hands over each valid frame that has come, up to a bounded number. An invalid one is counted,
-  // and logged once a sender and minute.
+  // Calls `on_frame` for each valid frame that has arrived, up to a maximum number. Invalid frames
+  // are counted, and logged at most once a minute for each sender.
   void ReceiveFrames(peers::Time now, const std::function<void(const peers::Frame&)>& on_frame);
-  // Signs the frame and sends it to the member that it names. Frames to names that are not in the
-  // roster, and what the system does not take at once, are dropped.
+  // Signs the frame and sends it to the member that it names. A frame to a name that is not in the
+  // roster, or that the system does not accept at once, is dropped.
   void Send(const peers::Frame& frame);
 
  private:
--- a/src/fleet/periodic_timer.hpp
+++ b/src/fleet/periodic_timer.hpp
@@ -1,4 +1,4 @@
-// When a task that is done at an interval is due next. No clock: it is told the time.
+// Computes when a periodic task is next due. It has no clock; the caller passes the time.
 #ifndef BRASSFRONT_FLEET_PERIODIC_TIMER_HPP_
 #define BRASSFRONT_FLEET_PERIODIC_TIMER_HPP_
 
@@ -8,20 +8,20 @@
 
 namespace brassfront::fleet {
 
-// Due at once, then each interval after it was last started. For one thread.
+// The task is due at once, and then an interval after each start. Not thread-safe.
 class PeriodicTimer {
  public:
   explicit PeriodicTimer(peers::Time interval) : interval_(interval) {}
 
-  // True if the task is due; the next time is then an interval from now.
+  // Returns whether the task is due; if so, it is next due an interval from now.
   [[nodiscard]] bool StartIfDue(peers::Time now) {
     if (now < next_) return false;
     next_ = now + interval_;
     return true;
   }
-  // The task is due now, whatever the interval.
+  // Makes the task due at once, regardless of the interval.
   void MakeDue() { next_ = peers::Time{}; }
-  // The task is due at that time at the latest.
+  // Makes the task due at the given time at the latest.
   void BringForwardTo(peers::Time time) { next_ = std::min(next_, time); }
   [[nodiscard]] peers::Time next() const { return next_; }
 
--- a/src/fleet/replicated_log.cpp
+++ b/src/fleet/replicated_log.cpp
@@ -11,8 +11,8 @@
 using observe::Concern;
 using observe::Level;
 
-// From a failed write to the next try: long enough for a full disk not to be hammered, short enough
-// for a voter to be back while an operator waits.
+// Delay from a failed write to the next attempt: long enough not to overload a full disk with
+// writes, short enough for a voter to be back while an operator waits.
 constexpr peers::Time kStoreRetryDelay = std::chrono::seconds(2);
 
 }  // namespace
@@ -62,8 +62,8 @@
   Start();
 }
 
-// Peers that remember later incarnations of this member than its folder does may have seen it vote
-// since then.
+// If peers remember a later incarnation of this member than its folder contains, the member may
+// have cast votes that the folder does not record.
 void ReplicatedLog::RejoinIfFolderIsStale() {
   if (!failure_detector_.folder_is_stale() || node_->bootstrapped()) return;
   if (std::exchange(stale_folder_handled_, true)) return;
@@ -86,7 +86,8 @@
 void ReplicatedLog::Tick(Time now) {
   if (!node_) return;
   RejoinIfFolderIsStale();
-  // Half of the other voters at least have told what they remember of this member.
+  // Voting is allowed once at least half of the other voters have reported what they remember of
+  // this member.
   const std::size_t others = roster_.roster().Voters().size() - 1;
   if (failure_detector_.answered_by() >= (others + 1) / 2) node_->AllowVoting();
   if (node_->broken()) return RestartAfterStoreFailure(now);
--- a/src/fleet/replicated_log.hpp
+++ b/src/fleet/replicated_log.hpp
@@ -1,8 +1,9 @@
-// This member's part in the replicated log: its Raft node if the roster makes it a voter, the store
-// beneath it, and the maintenance state that the committed commands come to.
+// This member's participation in the replicated log: its Raft node, if it is a voter in the roster,
+// the node's store, and the maintenance state that results from the committed commands.
 //
-// The node is made anew when its store failed, and under a new identity when the folder turns out
-// to be damaged or an old copy: such a folder must not vote for what it may have forgotten.
+// The node is recreated after its store has failed. If the folder turns out to be damaged or an old
+// copy, the node is recreated under a new identity: the folder may lack votes that were cast under
+// the old one, so voting under it again would be unsafe.
 #ifndef BRASSFRONT_FLEET_REPLICATED_LOG_HPP_
 #define BRASSFRONT_FLEET_REPLICATED_LOG_HPP_
 
@@ -23,42 +24,42 @@
 
 namespace brassfront::fleet {
 
-// Owned and called by the fleet's thread, but for Start.
+// Used only by the fleet's thread, except for Start.
 class ReplicatedLog {
  public:
   using Time = peers::Time;
 
-  // All three must outlive this object. Throws std::runtime_error where the folder cannot be
+  // The references must outlive this object. Throws std::runtime_error if the folder cannot be
   // written.
   ReplicatedLog(const RosterWatcher& roster, LocalIdentity& identity,
                 const peers::FailureDetector& failure_detector, const std::string& folder,
                 std::uint64_t seed);
 
-  // Makes the Raft node, or drops it if this member is no voter. To be called at the start and when
-  // that changes. Throws std::runtime_error where the log cannot be read at all.
+  // Creates the Raft node, or destroys it if this member is not a voter. To be called at startup
+  // and when the member's role changes. Throws std::runtime_error if the log cannot be read at all.
   void Start();
-  // The roster has changed: starts or drops the node if this member has become a voter or has
-  // ceased to be one, and else tells the node who votes.
+  // To be called when the roster has changed. Creates or destroys the node if this member has
+  // become or ceased to be a voter; otherwise updates the node's list of voters.
   void OnRosterChanged();
-  // Does what is due; to be called at Next() at the latest.
+  // Performs the work that is due; to be called at Next() at the latest.
   void Tick(Time now);
   [[nodiscard]] Time Next() const;
 
-  // A frame of kind kSettled or kFound.
+  // Handles a frame of kind kSettled or kFound.
   void Receive(const peers::Frame& frame, Time now);
   [[nodiscard]] std::vector<consensus::RaftNode::Message> TakeMessages();
-  // Only on the leader. `done` is called once, during this call or a later one.
+  // To be called only on the leader. `done` is called once, during this call or a later one.
   void Propose(std::string_view command, consensus::RaftNode::Done done);
 
-  // This member votes, and its log has begun: it knows who leads.
+  // Returns whether this member is a voter with a log, so that it learns of the leader by itself.
   [[nodiscard]] bool bootstrapped() const { return node_ && node_->bootstrapped(); }
   [[nodiscard]] bool is_leader() const { return node_ && node_->leads(); }
-  // Empty: none is known. Of use only if bootstrapped.
+  // The leader's name; empty if none is known. May be called only if bootstrapped.
   [[nodiscard]] std::string leader() const { return node_->leader(); }
   [[nodiscard]] std::uint64_t term() const { return node_ ? node_->term() : 0; }
-  // This folder is a voter of the log's own configuration.
+  // Returns whether this folder is a voter in the configuration stored in the log.
   [[nodiscard]] bool votes() const { return node_ && node_->votes(); }
-  // What the committed commands come to; nullptr: this member is no voter.
+  // The state that results from the committed commands; nullptr if this member is not a voter.
   [[nodiscard]] const maintenance::MaintenanceState* state() const {
     return node_ ? &state_ : nullptr;
   }
@@ -75,9 +76,9 @@
   consensus::FileStore store_;
   maintenance::MaintenanceState state_;
   std::unique_ptr<consensus::RaftNode> node_;
-  bool started_as_voter_ = false;  // by the roster at the last change
+  bool started_as_voter_ = false;  // according to the roster at the last Start
   bool stale_folder_handled_ = false;
-  std::optional<Time> restart_at_;  // set: the store has failed
+  std::optional<Time> restart_at_;  // set while the store has failed
 };
 
 }  // namespace brassfront::fleet
--- a/src/fleet/roster_watcher.cpp
+++ b/src/fleet/roster_watcher.cpp
@@ -42,13 +42,13 @@
   const std::string fault = peers::ChangeFault(roster_, next);
   if (!fault.empty()) throw std::runtime_error(fault);
   if (next.Find(self_name_)->address != self().address) {
-    throw std::runtime_error("this forwarder's own address changes; that takes a restart");
+    throw std::runtime_error("this forwarder's own address has changed, which requires a restart");
   }
   if (next.timings != roster_.timings) {
-    throw std::runtime_error("the timings change; that takes a restart");
+    throw std::runtime_error("the timings have changed, which requires a restart");
   }
   if (!started_with_sharing_ && HasSharing(next)) {
-    throw std::runtime_error("sharing begins; that takes a restart");
+    throw std::runtime_error("sharing has been turned on, which requires a restart");
   }
 }
 
--- a/src/fleet/roster_watcher.hpp
+++ b/src/fleet/roster_watcher.hpp
@@ -1,5 +1,5 @@
-// The roster that this member works by, and which changes of its file may be taken up while the
-// process runs.
+// The roster that this member uses, and the check of which changes to its file can take effect
+// while the process is running.
 #ifndef BRASSFRONT_FLEET_ROSTER_WATCHER_HPP_
 #define BRASSFRONT_FLEET_ROSTER_WATCHER_HPP_
 
@@ -10,14 +10,14 @@
 
 namespace brassfront::fleet {
 
-// For the fleet's thread, once that runs.
+// Used only by the fleet's thread once that thread is running.
 class RosterWatcher {
  public:
-  // Reads the file. Throws records::BadRecords, and std::runtime_error if the roster does not have
-  // this member.
+  // Reads the file. Throws records::BadRecords, and std::runtime_error if the roster does not
+  // contain this member.
   RosterWatcher(std::string path, std::string self);
 
-  // The same object for the watcher's whole life; Reload changes what it holds.
+  // Refers to the same object for the watcher's lifetime; Reload changes its contents.
   [[nodiscard]] const peers::Roster& roster() const { return roster_; }
   // This member's entry. Valid until the next Reload.
   [[nodiscard]] const peers::Member& self() const { return *roster_.Find(self_name_); }
@@ -36,7 +36,7 @@
   const bool started_with_sharing_;
 };
 
-// Limits or health reports are shared.
+// Returns whether limits or health reports are shared.
 [[nodiscard]] bool HasSharing(const peers::Roster& roster);
 
 }  // namespace brassfront::fleet
--- a/src/fleet/sharing.hpp
+++ b/src/fleet/sharing.hpp
@@ -1,5 +1,5 @@
-// What members share about their calls: quota leases and health reports. Between the engine's
-// threads, which report calls, and the fleet's thread, which exchanges frames.
+// Information that members share about their calls: quota leases and health reports. Connects the
+// engine's threads, which report calls, to the fleet's thread, which exchanges frames.
 #ifndef BRASSFRONT_FLEET_SHARING_HPP_
 #define BRASSFRONT_FLEET_SHARING_HPP_
 
@@ -19,7 +19,7 @@
 
 namespace brassfront::fleet {
 
-// Guarded by a mutex under which nobody waits or does I/O.
+// Thread-safe. No thread waits or does I/O while it holds the mutex.
 class Sharing : public CallObserver {
  public:
   using Time = peers::Time;
@@ -32,17 +32,17 @@
   void OnCallCompleted(const CallCompleted& call) override;
 
   // ---- any thread ----
-  // A list on its way to the engine: these endpoints will be called.
+  // To be called with each endpoint list that is passed to the engine.
   void OnEndpointList(const MemberList& list);
 
   // ---- the fleet's thread ----
-  // First in each turn, before frames are received: `leads` tells whether this member leads the
-  // replicated log.
+  // To be called first in each iteration of the fleet's loop, before frames are received. `leads`:
+  // whether this member leads the replicated log.
   void Tick(bool leads, Time now);
-  // A frame of kind kWant, kGrant or kWords.
+  // Handles a frame of kind kWant, kGrant or kWords.
   void Receive(const peers::Frame& frame, Time now);
-  // Requests leases and sends reports as they are due. `leader` is empty if none is known;
-  // `present`: members that are heard, this one too.
+  // Requests leases and sends reports when they are due. `leader` is empty if none is known;
+  // `present` contains the members that are alive or suspect, including this one.
   void Update(const std::string& leader, std::vector<std::string> present, Time now);
   [[nodiscard]] Time Next() const;
   void SetRoster(const peers::Roster& roster, Time now);
@@ -52,11 +52,11 @@
   [[nodiscard]] std::string VerdictsJson(Time now) const;
 
  private:
-  mutable std::mutex mutex_;  // guards the three that follow
+  mutable std::mutex mutex_;  // guards settings_, leases_ and health_
   peers::Sharing settings_;
   LeaseTraffic leases_;
   HealthTraffic health_;
-  std::vector<OutgoingFrame> outgoing_frames_;  // the fleet's thread's own
+  std::vector<OutgoingFrame> outgoing_frames_;  // used only by the fleet's thread
 };
 
 }  // namespace brassfront::fleet
--- a/src/fleet/sharing_reports.cpp
+++ b/src/fleet/sharing_reports.cpp
@@ -66,7 +66,7 @@
   return row;
 }
 
-// One promise after the other, as lines for people or as one JSON object.
+// Writes bounds one after the other, as readable lines or as one JSON object.
 class BoundsWriter {
  public:
   explicit BoundsWriter(BoundsFormat format) : format_(format) {}
@@ -121,21 +121,24 @@
 
 std::string SharingBoundsToText(const peers::Roster& roster, BoundsFormat format) {
   const quota::LeaseSettings settings = LeaseSettingsFrom(roster);
-  // Until a member that grants has heard of a lowered limit.
+  // Maximum time until a granting member learns of a lowered limit.
   const Time undetected = settings.Renew() + settings.Stretched(settings.term);
   BoundsWriter bounds(format);
   bounds.Add("quiet_s", SecondsToText(settings.QuietTime()),
-             "a new leader grants nothing for so long; floors hold");
-  bounds.Add("lease_ends_s", SecondsToText(settings.Stretched(settings.term)),
-             "after a cut, a pause or a death its lease is free again, at most");
+             "a new leader grants no leases for this time; reserved floors still apply");
+  bounds.Add(
+      "lease_ends_s", SecondsToText(settings.Stretched(settings.term)),
+      "maximum time until the lease of a disconnected, suspended or dead member is free again");
   bounds.Add("lowered_s", SecondsToText(settings.LoweredFor(undetected)),
-             "after a limit falls calls of the old rate may go on, at most");
-  bounds.Add("word_kept_s", SecondsToText(roster.sharing.kept), "a word on an endpoint is dropped");
+             "maximum time that calls may start at the old rate after a limit is lowered");
+  bounds.Add("word_kept_s", SecondsToText(roster.sharing.kept),
+             "a health report on an endpoint is dropped after this time");
   for (const auto& [key, limit] : settings.listed) {
     bounds.Add("over_" + key, NumberToText(settings.MostAtOnce(limit)),
-               "calls above " + NumberToText(limit) + "/s times the window, in any window");
+               "maximum number of calls above " + NumberToText(limit) +
+                   "/s times the window, in any window");
     bounds.Add("floor_" + key, NumberToText(settings.FloorOf(limit)),
-               "calls a second that a cut-off member may begin");
+               "calls a second that a disconnected member may start");
   }
   return bounds.Finish();
 }
--- a/src/fleet/sharing_reports.hpp
+++ b/src/fleet/sharing_reports.hpp
@@ -1,5 +1,6 @@
-// The JSON of quota leases and health reports in the control socket's replies, and the bounds that
-// a roster's settings promise. Field names are for operators' scripts and stay as they are. No I/O.
+// JSON of quota leases and health reports in the control socket's replies, and the bounds that
+// follow from a roster's settings. Operators' scripts rely on the field names, which must not
+// change. No I/O.
 #ifndef BRASSFRONT_FLEET_SHARING_REPORTS_HPP_
 #define BRASSFRONT_FLEET_SHARING_REPORTS_HPP_
 
@@ -11,9 +12,9 @@
 
 namespace brassfront::fleet {
 
-// This member's share of each limit; on the leader also what is granted to whom.
+// This member's share of each limit; on the leader also the leases granted to each member.
 [[nodiscard]] std::string LimitsJson(const LeaseTraffic& leases, peers::Time now);
-// Who reports what on which endpoint, and which members' reports count.
+// The health reports of all members on endpoints, and which members' reports count.
 [[nodiscard]] std::string VerdictsJson(const verdicts::HealthReportTable& table, peers::Time now);
 
 enum class BoundsFormat { kText, kJson };
--- a/src/fleet/state_exchange.cpp
+++ b/src/fleet/state_exchange.cpp
@@ -8,10 +8,10 @@
 
 using std::chrono::milliseconds;
 
-// Between two requests: by so much a member that does not vote lags behind the log, and the leader
-// behind the loads.
+// Interval of requests. A non-voting member's state lags the log by up to this time, and so do the
+// loads that the leader knows of.
 constexpr peers::Time kStateRequestInterval = milliseconds(500);
-// After a command was submitted: about as long as it takes to be committed.
+// Delay of the request after a command was submitted: about as long as a commit takes.
 constexpr peers::Time kRequestDelayAfterCommand = milliseconds(100);
 
 }  // namespace
--- a/src/fleet/state_exchange.hpp
+++ b/src/fleet/state_exchange.hpp
@@ -1,4 +1,5 @@
-// Whom this member asks for the committed state, when, and the leader that it learns of so.
+// Schedules this member's requests for the committed state, chooses their recipient, and stores the
+// leader named in the replies.
 #ifndef BRASSFRONT_FLEET_STATE_EXCHANGE_HPP_
 #define BRASSFRONT_FLEET_STATE_EXCHANGE_HPP_
 
@@ -13,22 +14,23 @@
 
 namespace brassfront::fleet {
 
-// Owned and called by the fleet's thread.
+// Used only by the fleet's thread.
 class StateExchange {
  public:
   using Time = peers::Time;
 
-  // Both must outlive this object.
+  // The references must outlive this object.
   StateExchange(const RosterWatcher& roster, const peers::FailureDetector& failure_detector);
 
-  // If a request is due: the leader, or any voter that is alive if none is known. Nothing if it is
-  // not due, or nobody is to be asked.
+  // Returns the recipient of the next request if one is due: the leader, or any alive voter if no
+  // leader is known. Returns nothing if no request is due or there is no suitable recipient.
   [[nodiscard]] std::optional<std::string> NextRecipient(const std::string& leader, Time now);
-  // A command was submitted: its result is asked for sooner than the interval says.
+  // To be called when a command was submitted: its result is requested sooner than the interval
+  // would have it.
   void OnCommandSubmitted(Time now);
   [[nodiscard]] Time Next() const { return timer_.next(); }
 
-  // The leader as the last update named it; empty: none. For members that do not vote.
+  // The leader named in the last update; empty if none. Used by members that do not vote.
   [[nodiscard]] const std::string& reported_leader() const { return reported_leader_; }
   void SetReportedLeader(std::string leader) { reported_leader_ = std::move(leader); }
 
--- a/src/fleet/state_messages.hpp
+++ b/src/fleet/state_messages.hpp
@@ -1,5 +1,5 @@
-// Codec of the frames of kind kNews, by which a member that does not replicate the log learns the
-// committed state and the leader learns how much each member has in flight.
+// Codec of the frames of kind kNews. With them, a member that does not replicate the log receives
+// the committed state, and the leader learns how many messages each member has in flight.
 //
 //   request: 1 u8 | revision u64 | messages in flight u64
 //   update:  2 u8 | revision u64 | leader: name | state: text
@@ -23,15 +23,15 @@
 
 struct StateUpdate {
   std::uint64_t revision = 0;
-  std::string leader;  // empty: the sender knows none
-  std::string state;   // of MaintenanceState::Save; empty: no newer one than was named
+  std::string leader;  // empty if the sender knows of none
+  std::string state;  // from MaintenanceState::Save; empty if not newer than the request's revision
 };
 
 using StateMessage = std::variant<StateRequest, StateUpdate>;
 
 [[nodiscard]] std::string Encode(const StateRequest& request);
 [[nodiscard]] std::string Encode(const StateUpdate& update);
-// Nothing if the bytes are no such message.
+// Returns nothing if the bytes are not a valid message.
 [[nodiscard]] std::optional<StateMessage> DecodeStateMessage(std::string_view bytes);
 
 }  // namespace brassfront::fleet
