--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kNever = 1e18;
-// A penalty below this is forgotten.
+// A penalty that has decayed below this is dropped.
 constexpr double kNegligiblePenalty = 0.05;
 
 int PhaseSeverity(Phase phase) {
@@ -69,7 +69,7 @@
     if (source.settings.owns) source.owned.insert(member.destination);
     keys.insert(key);
     source.reported[member.destination][member.address].push_back({member, group});
-    // To list it again takes its removal back.
+    // Listing the member again revokes the source's earlier removal of it.
     Destination& destination = destinations_[member.destination];
     if (const auto removal = destination.removed_by.find(member.address);
         removal != destination.removed_by.end() && removal->second.erase(id) > 0 &&
@@ -186,7 +186,7 @@
     return entry.second.phase == Phase::kReady;
   });
   if (some_ready || delayed.empty()) return;
-  // Better one that comes and goes than none: the one that did so least.
+  // An endpoint that flaps is better than none: list the one with the lowest penalty.
   const auto least =
       std::min_element(delayed.begin(), delayed.end(), [&](const auto& a, const auto& b) {
         return PenaltyNow(destination.flaps.at(a.first), now) <
@@ -197,7 +197,7 @@
 
 void Membership::UpdateDestination(std::uint64_t number, Destination& destination, double now,
                                    MemberList& out) {
-  // What no source lists needs no veto any more.
+  // A removal need not be remembered once no source lists the address.
   std::erase_if(destination.removed_by, [&](const auto& removal) {
     return std::none_of(sources_.begin(), sources_.end(), [&](const Source& source) {
       const auto reported = source.reported.find(number);
@@ -206,7 +206,7 @@
   });
   std::map<std::string, Member> desired = DesiredMembers(number, destination);
 
-  // Removals first: they are never held back, and they count for damping.
+  // Removals come first: they are never delayed, and they add to the damping penalty.
   for (auto announced = destination.announced.begin(); announced != destination.announced.end();) {
     if (desired.contains(announced->first)) {
       ++announced;
@@ -233,7 +233,8 @@
     const auto [announced, inserted] = destination.announced.try_emplace(address);
     announced_count_ += inserted ? 1 : 0;
     if (!inserted && Same(announced->second, member)) continue;
-    // The engine knows an endpoint by its id: under another one, the first is gone.
+    // The engine identifies an endpoint by its id. If the id has changed, the endpoint with the old
+    // id is gone.
     if (!inserted && announced->second.id != member.id) {
       announced->second.phase = Phase::kGone;
       out.members.push_back(announced->second);
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -1,23 +1,25 @@
-// Which endpoints there are, by all who tell: the platform's discovery, zone files, updates and
-// transfers. One state machine without I/O merges what its sources say into the changes of the one
-// list that the engine takes. Times are seconds on a clock that never goes back.
+// Merges the endpoints that several sources report (the platform's discovery, zone files, updates
+// and transfers) into changes of the single list that the engine uses. A state machine without I/O.
+// Times are seconds on a monotonic clock.
 //
-// A source tells in groups (a service of a zone; each member of discovery is one): a group's
-// members are replaced as a whole. For each destination
-//  - the highest-ranked source that owns it decides alone; a source owns the destinations that it
-//    has listed since it last started anew, also when it lists nothing for them any more;
-//  - without such a source all others are joined. What one of them removed is gone, though another
-//    still lists it, until the one lists it again or the other has dropped it as well;
-//  - where several list the same address, the worst phase counts, and the rest is the highest
-//    ranked one's.
-// A source that fails keeps its last list until it expires; then it is as if it had never spoken.
+// A source reports its members in groups: a group is a service of a zone, or a single member of
+// discovery. A report replaces all members of its group. For each destination
+//  - the highest-ranked source that owns it decides alone. A source that may own destinations owns
+//    all that it has listed since startup, even if it no longer lists an endpoint for them;
+//  - if no source owns it, the reports of all sources are merged. An endpoint that one source has
+//    removed is gone even if another source still lists it, until the first one lists it again or
+//    the other one has dropped it as well;
+//  - if several sources list the same address, the worst phase applies, and all other attributes
+//    are those of the highest-ranked source.
+// The last list of a source that fails stays valid until the source expires. An expired source is
+// ignored until it reports again.
 //
-// An endpoint is its destination and address. A name that comes back with another address is
-// another endpoint, and the old one is gone.
+// An endpoint is identified by its destination and address. A name that reappears with another
+// address is another endpoint, and the old one is gone.
 //
-// A removal or a drain is in the next list, always. Coming back is what damping delays: an endpoint
-// that was removed again and again is listed later (as routes are by RFC 2439), but never so that
-// its destination is left with nothing that could be listed.
+// A removal or a drain is always part of the next list. Damping delays only the return of an
+// endpoint: an endpoint that was removed repeatedly is listed again later (like routes in RFC
+// 2439), unless its destination would otherwise have no ready endpoint.
 #ifndef BRASSFRONT_MEMBERSHIP_MEMBERSHIP_HPP_
 #define BRASSFRONT_MEMBERSHIP_MEMBERSHIP_HPP_
 
@@ -35,57 +37,58 @@
 
 struct Damping {
   bool on = true;
-  double penalty = 1;     // for each removal
-  double half_life = 30;  // seconds, in which a penalty falls to half
-  double suppress = 2.5;  // above this, coming back is delayed
-  double reuse = 1;       // until it has fallen below this
-  double longest = 60;    // seconds; the most that coming back is delayed
+  double penalty = 1;     // added by each removal
+  double half_life = 30;  // seconds in which a penalty falls to half
+  double suppress = 2.5;  // a penalty above this delays the endpoint's return
+  double reuse = 1;       // the delay lasts until the penalty has fallen to this
+  double longest = 60;    // seconds; maximum delay
 };
 
 struct SourceSettings {
-  std::string name;   // for people
-  int rank = 0;       // the lower, the more it counts
-  bool owns = false;  // it alone tells of the destinations that it lists
-  double expiry = 0;  // seconds after the last word; 0: never
+  std::string name;   // for display only
+  int rank = 0;       // a lower number takes precedence
+  bool owns = false;  // whether it alone decides about the destinations that it lists
+  double expiry = 0;  // seconds after the last report; 0: never
 };
 
 using SourceId = std::size_t;
 
 class Membership {
  public:
-  // The first list's revision is one above `revision`: what the engine was started with.
+  // `revision` is that of the list that the engine was started with; the first list's revision is
+  // one above it.
   explicit Membership(Damping damping, std::uint64_t revision = 0);
 
   SourceId AddSource(SourceSettings settings);
 
-  // What the source says of a group, in the place of what it reported before. Phases: a member that
-  // is kGone is as one that is not there.
+  // Replaces the members of one of the source's groups. Members in phase kGone are treated as
+  // absent.
   void Take(SourceId source, const std::string& group, const std::vector<Member>& members,
             double now);
-  // A group that is no more.
+  // Removes a group.
   void Drop(SourceId source, const std::string& group, double now) { Take(source, group, {}, now); }
-  // The platform's form: a whole list, or changes to it, by members' ids.
+  // Applies a list in the platform's form: a complete list, or changes to it by members' ids.
   void TakeList(SourceId source, const MemberList& list, double now);
-  // Its word still holds, with nothing new.
+  // The source's last report is still valid and nothing has changed.
   void Confirm(SourceId source, double now);
-  // Something went wrong; what it reported last stands until it expires.
+  // The source has failed. Its last report stays valid until the source expires.
   void Failed(SourceId source, double now);
-  // It counts no more, by its own measure of time; until it speaks again.
+  // The source has expired by its own measure of time. It is ignored until it reports again.
   void Expired(SourceId source);
 
-  // What the engine is to be announced since the last call: nothing, if nothing changed. The first
-  // list is whole, later ones are changes.
+  // Returns the changes since the last call that the engine has to apply, or nothing if there are
+  // none. The first list is complete, later ones contain changes.
   std::optional<MemberList> Changes(double now);
-  // When Changes may have something by time alone.
+  // Returns when Changes may next have a result without a further report.
   [[nodiscard]] double NextDue() const;
 
-  // ---- for people ----
+  // ---- for operators ----
   struct SourceState {
     SourceSettings settings;
     std::size_t groups = 0;
     std::size_t members = 0;
-    double reported_at = 0;  // when it last reported
-    double failing = 0;      // since when it fails; 0: it does not
+    double reported_at = 0;  // time of the last report
+    double failing = 0;      // time since which it has been failing; 0: it is not failing
     bool expired = false;
   };
   [[nodiscard]] std::vector<SourceState> Sources() const;
@@ -101,7 +104,7 @@
   struct Source {
     SourceSettings settings;
     std::map<std::string, std::set<std::pair<std::uint64_t, std::string>>> groups;
-    // By destination and address; an address that several groups list is counted.
+    // By destination and address, with one entry for each group that lists the address.
     std::map<std::uint64_t, std::map<std::string, std::vector<ReportedMember>>> reported;
     std::set<std::uint64_t> owned;
     double reported_at = 0;
@@ -111,12 +114,12 @@
   };
   struct Flaps {
     double penalty = 0;
-    double at = 0;             // when it was so
-    double delayed_until = 0;  // 0: not held back
+    double at = 0;             // time at which the penalty had this value
+    double delayed_until = 0;  // 0: the endpoint's return is not delayed
   };
   struct Destination {
-    std::map<std::string, Member> announced;  // by address: what the engine knows, without the gone
-    std::map<std::string, std::set<SourceId>> removed_by;  // by those who removed it
+    std::map<std::string, Member> announced;  // by address; members that the engine currently has
+    std::map<std::string, std::set<SourceId>> removed_by;  // by address
     std::map<std::string, Flaps> flaps;
   };
 
@@ -126,16 +129,17 @@
   void RecordReport(Source& source, double now);
   void MarkOutdated(const Source& source);
   void ExpireDue(double now);
-  // A member with the rank of the source that it is taken from.
+  // A member with the rank of the source that reported it.
   struct RankedMember {
     int rank = 0;
     Member member;
   };
   using RankedMembers = std::map<std::string, RankedMember>;  // by address
 
-  // The source that alone speaks for the destination; null if none does.
+  // Returns the source that alone decides about the destination; nullptr if there is none.
   [[nodiscard]] const Source* OwnerOf(std::uint64_t number) const;
-  // Adds what the source lists: the lowest rank holds, in the worst phase that any of them tells.
+  // Merges the source's members into `best`. For each address the member of the lowest rank is
+  // kept, with the worst phase that any source reports.
   static void MergeSource(const Source& source, std::uint64_t number, RankedMembers& best);
   [[nodiscard]] bool IsRemovedByActiveSource(const Destination& destination,
                                              const std::string& address) const;
@@ -152,8 +156,9 @@
   std::size_t announced_count_ = 0;
   std::vector<Source> sources_;
   std::map<std::uint64_t, Destination> destinations_;
-  std::set<std::uint64_t> outdated_destinations_;        // to be worked out again
-  std::set<std::pair<double, std::uint64_t>> releases_;  // when something held back may come
+  std::set<std::uint64_t> outdated_destinations_;  // to be recomputed
+  // Times at which delays end, each with its destination.
+  std::set<std::pair<double, std::uint64_t>> releases_;
 };
 
 }  // namespace brassfront::membership
--- a/src/membership/zone_map.cpp
+++ b/src/membership/zone_map.cpp
@@ -10,8 +10,8 @@
 using dns::Zone;
 namespace type = dns::type;
 
-constexpr int kMaxAliases = 8;      // one after the other
-constexpr double kMinWeight = 0.1;  // what RFC 2782's "very small chance" is here
+constexpr int kMaxAliases = 8;      // length of a chain of aliases
+constexpr double kMinWeight = 0.1;  // stands for the "very small chance" of RFC 2782
 
 std::string WithoutEndDot(std::string text) {
   if (text.size() > 1 && text.ends_with('.')) text.pop_back();
@@ -20,7 +20,8 @@
 
 using Attributes = std::map<std::string, std::string>;
 
-// Adds `key=value` (RFC 1464), the key in lower case. A word without `=` is passed over.
+// Adds an attribute `key=value` (RFC 1464), with the key in lower case. A word without `=` is
+// ignored.
 void AddAttribute(std::string_view word, const Name& name, Attributes& attributes,
                   std::vector<std::string>& faults) {
   const auto equals = word.find('=');
@@ -34,7 +35,8 @@
   }
 }
 
-// The attributes in the TXT records at a name; one character-string may hold several words.
+// Returns the attributes in the TXT records of a name. A character-string may contain several
+// words.
 Attributes AttributesAt(const Zone& zone, const Name& name, std::vector<std::string>& faults) {
   Attributes attributes;
   const dns::RecordSet* set = zone.Find(name, type::kTxt);
@@ -89,8 +91,8 @@
   dependents_[name.Key()].insert(service_key);
 }
 
-// Follows aliases from the SRV record's target to its addresses; null with a fault if there are
-// none.
+// Follows aliases from the SRV record's target to its address records. Returns nullptr and adds a
+// fault if there are none.
 const dns::RecordSet* ZoneMap::AddressesOf(const Zone& zone, const std::string& service_key,
                                            std::uint32_t port, Name& target, Service& service) {
   const std::string target_text = WithoutEndDot(target.Lower().ToText());
@@ -146,7 +148,7 @@
     for (const std::string& address : addresses->rdatas) {
       Member member;
       member.address = dns::RdataText(type::kA, address) + ":" + std::to_string(port);
-      // Of its target and address: with either changed it is another endpoint.
+      // The id contains the target and the address: if either changes, it is another endpoint.
       member.id = service.name + "/" + target_text + "@" + member.address;
       member.zone = AttributeOr(target_attributes, "zone", service_zone);
       member.kind = AttributeOr(attributes, "kind", defaults_.kind);
@@ -160,7 +162,8 @@
   return service;
 }
 
-// Members of a later priority serve only while none of an earlier one is ready (RFC 2782).
+// Selects the ready members of the lowest priority value that has any, and all draining members. A
+// member of a higher value serves only while none of a lower value is ready (RFC 2782).
 void ZoneMap::SelectByPriority(std::map<std::uint32_t, std::vector<Member>>&& by_priority,
                                std::vector<Member>& members) {
   bool served = false;
--- a/src/records/place.cpp
+++ b/src/records/place.cpp
@@ -15,7 +15,8 @@
   return all;
 }
 
-// Insertions, deletions, replacements and swaps of neighbours (Damerau, 1964, each place once).
+// Edit distance: the number of insertions, deletions, replacements and swaps of adjacent characters
+// (Damerau, 1964; the variant in which no position is edited twice).
 std::size_t Distance(std::string_view a, std::string_view b) {
   std::vector<std::vector<std::size_t>> d(a.size() + 1, std::vector<std::size_t>(b.size() + 1));
   for (std::size_t i = 0; i <= a.size(); ++i) {
--- a/src/records/place.hpp
+++ b/src/records/place.hpp
@@ -1,4 +1,4 @@
-// Where something stands in an operator file, and what is wrong with it.
+// Positions in operator files, and faults found there.
 #ifndef BRASSFRONT_RECORDS_PLACE_HPP_
 #define BRASSFRONT_RECORDS_PLACE_HPP_
 
@@ -12,9 +12,9 @@
 namespace brassfront::records {
 
 struct Place {
-  std::shared_ptr<const std::string> file;  // as it was named; none: nowhere
-  std::size_t line = 0;                     // from 1
-  std::size_t column = 0;                   // from 1, in bytes
+  std::shared_ptr<const std::string> file;  // the name as it was given; null: no position
+  std::size_t line = 0;                     // counted from 1
+  std::size_t column = 0;                   // in bytes, counted from 1
 
   [[nodiscard]] std::string Text() const;  // file:line:column
 };
@@ -22,12 +22,12 @@
 struct Fault {
   Place at;
   std::string message;  // what was expected and what was found
-  Place declared;       // what says so, where that is another place
+  Place declared;       // the declaration that is violated, if it is at another place
 
   [[nodiscard]] std::string Text() const;  // file:line:column: message (declared at ...)
 };
 
-// An operator file that cannot be used, with everything that is wrong with it; never empty.
+// Thrown for an operator file that cannot be used. Contains all faults found, at least one.
 class BadRecords : public std::runtime_error {
  public:
   explicit BadRecords(std::vector<Fault> faults);
@@ -37,14 +37,15 @@
   std::vector<Fault> faults_;
 };
 
-// Throws BadRecords with this fault. A function, for GCC 12 destroys the parts of a braced fault
-// twice where one of them throws.
+// Throws BadRecords with this fault. This is a function because GCC 12 destroys the parts of a
+// brace-initialized fault twice if one of them throws.
 [[noreturn]] void ThrowFault(Place at, std::string message);
 
-// The name of the list that is most like this one, for `did you mean`; empty if none is like it.
+// Returns the known name that is most similar to `name`, for `did you mean`; empty if none is
+// similar.
 std::string Nearest(std::string_view name, const std::vector<std::string>& known);
 
-// In double quotes, with escapes, as it would stand in a file.
+// Returns the text as a string literal of an operator file: in double quotes and with escapes.
 std::string Quote(std::string_view text);
 
 }  // namespace brassfront::records
--- a/src/records/records.cpp
+++ b/src/records/records.cpp
@@ -43,7 +43,7 @@
   throw std::logic_error("records: " + record.at().Text() + ": the program expects " + what);
 }
 
-// Runs one evaluation; what went wrong in it is thrown.
+// Runs one evaluation. Throws BadRecords with its faults if there are any.
 template <typename Work>
 Record Run(Work work) {
   Evaluator evaluator;
@@ -54,7 +54,7 @@
     ThrowFault(exceeded.fault.at, exceeded.fault.message);
   }
   if (!evaluator.faults().empty()) throw BadRecords(evaluator.faults());
-  if (!record) throw std::logic_error("records: refused without a reason");
+  if (!record) throw std::logic_error("records: evaluation failed without a fault");
   return std::move(*record);
 }
 
@@ -125,7 +125,7 @@
     const Expression reference{{}, Expression::Reference{name}};
     const Scope of_schema{&std::get<Expression::Struct>(declared->form), nullptr};
     const ValuePtr declared_value = evaluator.Evaluate(reference, of_schema, true);
-    // A file's own definitions come before the schema's, which it may use as well.
+    // The file may also use the schema's definitions; its own ones take precedence.
     const ValuePtr file_value = evaluator.Evaluate(*found, of_schema, false);
     if (!declared_value || !file_value) return std::nullopt;
     const ValuePtr unified = evaluator.Unify(*declared_value, *file_value);
--- a/src/records/records.hpp
+++ b/src/records/records.hpp
@@ -1,7 +1,8 @@
-// Typed operator records: what a file says, held against what a schema asks for.
+// Typed operator records: reads a file and checks it against a schema.
 //
-// A schema and a file are both texts of the form in syntax.hpp. They are unified, as in CUE: all
-// that either says must hold. What comes out has one value for each field, defaults filled in.
+// A schema and a file are both written in the syntax described in syntax.hpp. They are unified, as
+// in CUE: the result satisfies the constraints of both. It has one value for each field; defaults
+// are filled in.
 #ifndef BRASSFRONT_RECORDS_RECORDS_HPP_
 #define BRASSFRONT_RECORDS_RECORDS_HPP_
 
@@ -19,12 +20,12 @@
 
 namespace brassfront::records {
 
-// One value. The accessors hold a schema's word: asking for another kind than the schema names, or
-// for a field that it does not have, is a mistake in the program and throws std::logic_error.
+// One value. The accessors rely on the schema: calling one for another type than the schema
+// declares, or for a field that the schema does not declare, is a bug and throws std::logic_error.
 class Record {
  public:
   using List = std::vector<Record>;
-  using Struct = std::vector<std::pair<std::string, Record>>;  // in the order of the schema
+  using Struct = std::vector<std::pair<std::string, Record>>;  // in the schema's order
   using Form = std::variant<bool, Number, std::string, List, Struct>;
 
   Record(Place at, Form form) : at_(std::move(at)), form_(std::move(form)) {}
@@ -34,7 +35,7 @@
 
   [[nodiscard]] bool Bool() const;
   [[nodiscard]] std::int64_t Int() const;
-  [[nodiscard]] double Double() const;  // of an int or a number
+  [[nodiscard]] double Double() const;  // value of an int or a number
   [[nodiscard]] const std::string& Text() const;
   [[nodiscard]] std::chrono::nanoseconds Duration() const;
   [[nodiscard]] std::int64_t Bytes() const;
@@ -44,12 +45,13 @@
 
   [[nodiscard]] const Record& At(std::string_view name) const;
   [[nodiscard]] const Record* Find(
-      std::string_view name) const;  // nullptr: an optional field that is not there
+      std::string_view name) const;  // nullptr: an optional field is absent
 
-  // A fault at this value's place, for what no schema can say.
+  // Returns a fault at this value's place, for constraints that a schema cannot express.
   [[nodiscard]] Fault Complain(std::string message) const { return {at_, std::move(message), {}}; }
 
-  // On one line and the same for the same value, whatever the file looked like.
+  // Returns the value on one line. The text depends only on the value, not on the file's
+  // formatting.
   [[nodiscard]] std::string Canonical() const;
   // JSON (RFC 8259); durations as ns, sizes as bytes, rates as events a second.
   [[nodiscard]] std::string Json() const;
@@ -64,15 +66,15 @@
 
 struct Source {
   std::string_view text;
-  std::string file;  // its name, for the faults
+  std::string file;  // name of the file, for fault messages
 };
 
-// The file, held against the schema's definition `name` (such as "#Scenario"). Throws BadRecords
-// with all faults that were found, at most kMaxFaults.
+// Reads a file and checks it against the schema's definition `name` (such as "#Scenario"). Throws
+// BadRecords with all faults that were found, at most kMaxFaults.
 inline constexpr std::size_t kMaxFaults = 20;
 Record Load(const Source& file, const Source& schema, const std::string& name);
 
-// A file by itself: each field must have a value. Definitions without one are no fault.
+// Reads a file without a schema. Each field must have a value; definitions need not have one.
 Record LoadAlone(const Source& file);
 
 }  // namespace brassfront::records
--- a/src/records/syntax.cpp
+++ b/src/records/syntax.cpp
@@ -96,7 +96,7 @@
 struct EndOfFile : peg::eof {};
 struct File : peg::seq<Blank, Fields, Blank, peg::must<EndOfFile>> {};
 
-// What was expected, for the faults.
+// What the parser expected, for fault messages.
 template <typename Rule>
 inline constexpr const char* kExpected = nullptr;
 template <>
@@ -128,11 +128,11 @@
 
 struct Expected {
   template <typename Rule>
-  // NOLINTNEXTLINE(readability-identifier-naming): PEGTL looks the text up by this name.
+  // NOLINTNEXTLINE(readability-identifier-naming): PEGTL looks up the text by this name.
   static constexpr auto message = kExpected<Rule>;
   template <typename Rule>
-  // NOLINTNEXTLINE(readability-identifier-naming): PEGTL looks the rule's way up by this name.
-  static constexpr bool raise_on_failure = false;  // but where the grammar says must
+  // NOLINTNEXTLINE(readability-identifier-naming): PEGTL looks up this setting by this name.
+  static constexpr bool raise_on_failure = false;  // except where the grammar uses must
 };
 template <typename Rule>
 using Control = peg::must_if<Expected, peg::normal, false>::control<Rule>;
@@ -148,7 +148,7 @@
 
 using Node = peg::parse_tree::node;
 
-// ======== from the parse's tree to expressions ========
+// ======== from the parse tree to expressions ========
 
 class Builder {
  public:
@@ -256,7 +256,7 @@
                                                : Relation::kNot,
                             {}};
     if (limit.is_type<String>()) {
-      if (bound.relation != Relation::kNot) Fail(limit, "a string has no order: use !=");
+      if (bound.relation != Relation::kNot) Fail(limit, "strings have no order: use !=");
       bound.limit = StringOf(limit);
     } else {
       bound.limit = NumberOf(limit);
@@ -381,8 +381,8 @@
   std::shared_ptr<const std::string> file_;
 };
 
-// Guards against a file whose nesting would take all of the stack: strings and comments apart, the
-// depth of brackets is what the parse recurses by. `a: b: c:` nests as well.
+// Rejects a file whose nesting would overflow the stack: the parser recurses once for each level of
+// brackets outside strings and comments. `a: b: c:` nests as well.
 void CheckDepth(std::string_view text, const std::string& file) {
   std::size_t depth = 0, line = 1, line_start = 0, colons = 0;
   bool in_string = false;
--- a/src/records/unify.cpp
+++ b/src/records/unify.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t kMaxSteps =
-    500'000;  // terms made; a file of a thousand records takes some 20,000
+    500'000;  // evaluation steps; a file of a thousand records takes some 20,000
 
 constexpr std::array<const char*, 10> kKindNames = {
     "any", "bool", "int", "number", "string", "duration", "size", "rate", "a list", "a struct"};
@@ -53,7 +53,7 @@
   return term;
 }
 
-// The kind that is both; nothing if there is none.
+// Returns the kind that satisfies both; nothing if there is none.
 std::optional<Kind> CommonKind(Kind a, Kind b) {
   if (a == Kind::kAny) return b;
   if (b == Kind::kAny || a == b) return a;
@@ -69,7 +69,7 @@
   return a == b;
 }
 
-// In the largest unit that leaves no fraction.
+// Uses the largest unit in which the value is a whole number.
 std::string DurationText(std::int64_t ns) {
   constexpr auto kUnits =
       std::to_array<std::pair<const char*, std::int64_t>>({{"h", 3'600'000'000'000},
@@ -143,7 +143,7 @@
   return number->value != limit->value;
 }
 
-// Any value within the bound.
+// Returns a term that allows any value within the bound.
 Term BoundTerm(const Place& at, const Expression::Bound& bound) {
   Term term;
   term.at = at;
@@ -172,7 +172,8 @@
   faults_.push_back({std::move(at), std::move(message), std::move(declared)});
 }
 
-// Guards against alternatives of alternatives, of which a short file can make any number.
+// Limits the number of evaluation steps, since even a short file with nested alternatives can
+// expand to any number of them.
 void Evaluator::CountStep(const Place& at) {
   if (++steps_ <= kMaxSteps) return;
   throw StepLimitExceeded{{at, "too much to evaluate: too many alternatives or records", {}}};
@@ -351,7 +352,7 @@
         all_faults.push_back(std::exchange(faults_, std::move(before)));
       }
       if (!term) continue;
-      // Unlike in CUE the later default wins, so that a file may have defaults of its own.
+      // Unlike in CUE, the later default wins, so that a file can override defaults.
       const bool preferred = found.has_default ? b.preferred : a.preferred;
       out.has_default |= preferred;
       out.alternatives.push_back({std::move(*term), preferred});
@@ -362,8 +363,8 @@
   return ReportNoMatch(declared, found, std::move(all_faults));
 }
 
-// No alternative fits: the fault of the one that was most likely meant, or what there was to
-// choose.
+// Reports that no alternative matches: either with the faults of the alternative that was most
+// likely intended, or with the list of alternatives.
 ValuePtr Evaluator::ReportNoMatch(const Value& declared, const Value& found,
                                   std::vector<std::vector<Fault>> all_faults) {
   const Term& term = found.alternatives.front().term;
@@ -481,7 +482,8 @@
     out.items.push_back(std::move(value));
   }
   if (a.rest && b.rest) {
-    // Two types for further items that no item meets are no fault: there may be none.
+    // It is not a fault if the types of further items cannot be unified, since there may be no
+    // further items.
     std::vector<Fault> before = faults_;
     out.rest = Unify(*a.rest, *b.rest);
     faults_ = std::move(before);
@@ -533,7 +535,7 @@
   bool good = true;
   Record::Struct fields;
   for (const Term::Slot& slot : term.fields) {
-    if (slot.optional) continue;  // declared, and not given
+    if (slot.optional) continue;  // declared but not given
     auto field = Finish(*slot.value, slot.name, term.at);
     good &= field.has_value();
     if (field) fields.emplace_back(slot.name, std::move(*field));
@@ -542,7 +544,7 @@
   return Record(term.at, std::move(fields));
 }
 
-// ======== words ========
+// ======== descriptions for faults ========
 
 std::string Describe(const Term& term) {
   if (term.scalar) return ScalarText(*term.scalar);
--- a/src/records/unify.hpp
+++ b/src/records/unify.hpp
@@ -1,4 +1,4 @@
-// Evaluation and unification of record expressions; see records.hpp for what it is for.
+// Evaluation and unification of record expressions; records.hpp explains their purpose.
 #ifndef BRASSFRONT_RECORDS_UNIFY_HPP_
 #define BRASSFRONT_RECORDS_UNIFY_HPP_
 
@@ -19,7 +19,7 @@
 struct Value;
 using ValuePtr = std::shared_ptr<const Value>;
 
-// What one alternative of a value must be.
+// The constraints on one alternative of a value, with the value itself if it is known.
 struct Term {
   using Scalar = std::variant<bool, Number, std::string>;
   struct BoundAt {
@@ -37,10 +37,10 @@
   Place at;
   std::optional<Scalar> scalar;
   std::vector<BoundAt> bounds;
-  std::vector<Slot> fields;  // of a struct
+  std::vector<Slot> fields;  // if it is a struct
   bool closed = false;
-  std::vector<ValuePtr> items;  // of a list
-  ValuePtr rest;                // any further ones; none: there are none
+  std::vector<ValuePtr> items;  // if it is a list
+  ValuePtr rest;                // type of any further items; null: there are none
 };
 
 struct Value {
@@ -52,7 +52,7 @@
   bool has_default = false;
 };
 
-// The names that a reference may mean: a struct's definitions, then those round it.
+// The definitions that a reference may name: those of a struct, then those of the enclosing scopes.
 struct Scope {
   const Expression::Struct* definitions = nullptr;
   const Scope* outer = nullptr;
@@ -60,16 +60,19 @@
 
 class Evaluator {
  public:
-  // Faults are collected, up to kMaxFaults. Thrown where a file asks for too much work.
+  // Thrown if a file needs too many evaluation steps. All other faults are collected, up to
+  // kMaxFaults.
   struct StepLimitExceeded {
     Fault fault;
   };
 
-  // Nothing, with faults, where the expression makes no sense.
+  // Returns nullptr and adds faults if the expression is invalid. `closing`: whether structs reject
+  // undeclared fields, as in definitions.
   ValuePtr Evaluate(const Expression& expression, const Scope& scope, bool closing);
-  // `declared` says what must hold, `found` is held against it: for the faults' words only.
+  // Returns the value that satisfies both; nullptr, with faults, if there is none. Faults describe
+  // `declared` as what was expected. A default in `found` overrides one in `declared`.
   ValuePtr Unify(const Value& declared, const Value& found);
-  // The value of a field; `name` and `owner` are for the faults.
+  // Returns the value of a field; `name` and `owner` are used in faults.
   std::optional<Record> Finish(const Value& value, const std::string& name, const Place& owner);
 
   std::vector<Fault>& faults() { return faults_; }
@@ -101,12 +104,12 @@
   void Complain(Place at, std::string message, Place declared = {});
 
   std::vector<Fault> faults_;
-  std::map<const Expression*, ValuePtr> evaluated_definitions_;  // of definitions
-  std::vector<const Expression*> evaluating_;                    // definitions, for cycles
+  std::map<const Expression*, ValuePtr> evaluated_definitions_;
+  std::vector<const Expression*> evaluating_;  // to detect cycles of definitions
   std::size_t steps_ = 0;
 };
 
-// As a person would say it: `duration >=1ms`, `one of "a", "b"`, `a list`.
+// Returns a readable description, such as `duration >=1ms`, `"a" | "b"` or `a list of 2 items`.
 std::string Describe(const Value& value);
 std::string Describe(const Term& term);
 
