--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -1,4 +1,4 @@
-// The merged list: who decides, what is removed at once, what may wait, and what expires.
+// Tests of the merged endpoint list: precedence of sources, removals, damping and expiry.
 #include "membership/membership.hpp"
 
 #include <doctest/doctest.h>
@@ -20,7 +20,7 @@
   return member;
 }
 
-// What an engine would know after all lists so far.
+// The endpoints that an engine has after it applied all lists so far.
 struct Known {
   std::map<std::string, Member> members;
   std::uint64_t revision = 0;
@@ -61,7 +61,7 @@
   return {1, complete, std::move(members)};
 }
 
-TEST_CASE("one source: whole lists and changes to them") {
+TEST_CASE("one source: complete lists and changes to them") {
   Rig rig;
   const auto platform = rig.merged.AddSource({"platform"});
   CHECK_FALSE(rig.merged.Changes(0));
@@ -77,7 +77,7 @@
   CHECK(rig.At(3) == "d");
 }
 
-TEST_CASE("a whole list drops what it leaves out, and an address may change its id") {
+TEST_CASE("a complete list drops members that it omits, and an address may change its id") {
   Rig rig;
   const auto platform = rig.merged.AddSource({"platform"});
   Member renamed = Endpoint(1, "a");
@@ -95,7 +95,7 @@
   CHECK(rig.At(3) == "");
 }
 
-TEST_CASE("a source that owns decides alone, also when it lists nothing any more") {
+TEST_CASE("the owner of a destination decides alone, even when it no longer lists any endpoint") {
   Rig rig;
   const auto platform = rig.merged.AddSource({"platform", 10});
   const auto zone = rig.merged.AddSource({"zone", 1, true, 100});
@@ -104,10 +104,10 @@
   rig.merged.Take(zone, "s", {Endpoint(1, "z")}, 1);
   CHECK(rig.At(1) == "b z");
   rig.merged.Take(zone, "s", {}, 2);
-  CHECK(rig.At(2) == "b");  // the platform still lists a, and is not asked
+  CHECK(rig.At(2) == "b");  // the platform still lists a, but does not own the destination
   rig.merged.TakeList(platform, List({Endpoint(1, "a2"), Endpoint(2, "b")}), 3);
   CHECK(rig.At(3) == "b");
-  // It fails: what it reported last stands until it expires, then it is as if it had never spoken.
+  // The source fails: its last report stays valid until it expires; then the source is ignored.
   rig.merged.Failed(zone, 4);
   CHECK(rig.At(101) == "b");
   CHECK(rig.merged.NextDue() == 102);
@@ -129,7 +129,7 @@
   CHECK(rig.At(55) == "");
 }
 
-TEST_CASE("joined sources: a removal by one outlasts the other's late list") {
+TEST_CASE("merged sources: a removal by one source is not undone by a late list of the other") {
   Rig rig;
   const auto platform = rig.merged.AddSource({"platform", 10});
   const auto zone = rig.merged.AddSource({"zone", 1});
@@ -140,11 +140,11 @@
   CHECK(rig.At(1) == "b c");
   rig.merged.TakeList(platform, List({Endpoint(1, "a"), Endpoint(1, "b")}), 2);  // late
   CHECK(rig.At(2) == "b c");
-  SUBCASE("until the one lists it again") {
+  SUBCASE("until the first source lists it again") {
     rig.merged.Take(zone, "s", {Endpoint(1, "a"), Endpoint(1, "c")}, 3);
     CHECK(rig.At(3) == "a b c");
   }
-  SUBCASE("or the other has dropped it, and lists it anew") {
+  SUBCASE("or the other source has dropped it and then lists it again") {
     rig.merged.TakeList(platform, List({Endpoint(1, "b")}), 3);
     CHECK(rig.At(3) == "b c");
     rig.merged.TakeList(platform, List({Endpoint(1, "a"), Endpoint(1, "b")}), 4);
@@ -152,7 +152,7 @@
   }
 }
 
-TEST_CASE("the worst phase counts, and the rest is the highest ranked one's") {
+TEST_CASE("the worst phase applies, and other attributes are those of the highest-ranked source") {
   Rig rig;
   const auto platform = rig.merged.AddSource({"platform", 10});
   const auto zone = rig.merged.AddSource({"zone", 1});
@@ -170,7 +170,7 @@
   CHECK(rig.known.members["a"].weight == 1);
 }
 
-TEST_CASE("an address under another name is another endpoint, and the old one is told gone") {
+TEST_CASE("an address with another name is another endpoint, and the old one is reported as gone") {
   Rig rig;
   const auto zone = rig.merged.AddSource({"zone"});
   Member one = Endpoint(1, "10.0.0.1:80");
@@ -182,7 +182,7 @@
   CHECK(rig.At(1) == "y@10.0.0.1:80");
 }
 
-TEST_CASE("flapping delays coming back, never a removal, and never the last one") {
+TEST_CASE("flapping delays an endpoint's return, but no removal, and never the last endpoint") {
   Damping damping;
   Rig rig(damping);
   const auto zone = rig.merged.AddSource({"zone"});
@@ -197,23 +197,23 @@
     rig.merged.Take(zone, "s", both, now + 1);
     if (n < 2) CHECK(rig.At(now + 1) == "a b");
   }
-  CHECK(rig.At(now) == "b");  // the third removal in six seconds was one too many
+  CHECK(rig.At(now) == "b");  // the third removal in six seconds exceeds the suppress threshold
   CHECK(rig.merged.suppressed() == 1);
   const double release = rig.merged.NextDue();
   CHECK(release > now + 5);
   CHECK(release <= now + damping.longest);
   CHECK(rig.At(release - 0.1) == "b");
-  // Its last neighbour goes: better one that comes and goes than none.
+  // The only other endpoint is removed: a flapping endpoint is better than none.
   rig.merged.Take(zone, "s", {Endpoint(1, "a")}, now + 1);
   CHECK(rig.At(now + 1) == "a");
   rig.merged.Take(zone, "s", {}, now + 2);
-  CHECK(rig.At(now + 2) == "");  // and it is removed at once again
+  CHECK(rig.At(now + 2) == "");  // its removal is again not delayed
   rig.merged.Take(zone, "s", both, now + 3);
   CHECK(rig.At(now + 3) == "b");
   CHECK(rig.At(now + 3 + damping.longest) == "a b");
 }
 
-TEST_CASE("after a quiet hour nothing is remembered of flaps") {
+TEST_CASE("after an hour without removals no penalty remains") {
   Rig rig;
   const auto zone = rig.merged.AddSource({"zone"});
   for (int n = 0; n < 10; ++n) {
@@ -226,7 +226,7 @@
   CHECK(rig.At(3600) == "a b");
 }
 
-TEST_CASE("random words of three sources: the list is what the rules say, at every step") {
+TEST_CASE("random reports of three sources: only reported endpoints are ever listed") {
   for (std::uint32_t seed = 0; seed < 60; ++seed) {
     std::mt19937 random(seed);
     Damping damping;
@@ -247,7 +247,7 @@
       reported.clear();
       for (int n = 0; n < 4; ++n) {
         if (random() % 2 == 0) continue;
-        // A destination is the tens of the address's number.
+        // The destination is the tens digit of the address.
         const std::string address = std::to_string(10 * (1 + random() % 2) + random() % 3);
         members.push_back(Endpoint(std::stoul(address) / 10, address));
         reported.insert(address);
@@ -257,7 +257,7 @@
       std::set<std::string> all;
       for (const auto& [who, addresses] : reported_addresses)
         all.insert(addresses.begin(), addresses.end());
-      // What no source reports is not listed, at once.
+      // An endpoint that no source reports is removed at once.
       for (const auto& [id, member] : rig.known.members) REQUIRE(all.contains(id));
       CHECK(rig.merged.endpoints() == rig.known.members.size());
       CHECK_FALSE(rig.merged.Changes(now));
--- a/tests/membership/zone_map_test.cpp
+++ b/tests/membership/zone_map_test.cpp
@@ -1,4 +1,5 @@
-// Records to endpoints: the mapping, its faults, and changes worked out alone.
+// Tests of the mapping of DNS records to endpoints: the mapping itself, faults, and incremental
+// changes.
 #include "membership/zone_map.hpp"
 
 #include <doctest/doctest.h>
@@ -51,7 +52,7 @@
   return Text(map.Replace(Read(text)));
 }
 
-TEST_CASE("SRV, TXT and A to endpoints") {
+TEST_CASE("SRV, TXT and A records are mapped to endpoints") {
   CHECK(Mapped("_e._tcp.p1 SRV 10 5 8080 h1\n SRV 10 0 8081 h2\n"
                " TXT \"destination=17 kind=big-retail\" \"zone=south\"\n"
                "h1 A 10.0.0.1\nh1 A 10.0.0.2\nh2 A 10.0.0.3\nh2 TXT zone=east phase=drain\n"
@@ -67,7 +68,7 @@
   CHECK(Mapped("s SRV 0 0 0 .\ns TXT destination=1\n") == "s.pay.example:\n");
 }
 
-TEST_CASE("of priorities the lowest with something ready counts; what drains is listed") {
+TEST_CASE("the lowest priority with a ready endpoint is used; draining endpoints are listed") {
   const std::string top = "s TXT destination=1\ns SRV 1 1 1 a\ns SRV 2 1 1 b\ns SRV 3 1 1 c\n";
   CHECK(Mapped(top + "a A 10.0.0.1\nb A 10.0.0.2\nc A 10.0.0.3\n") ==
         "s.pay.example:\n  10.0.0.1:1 d1 small-shop north 1.0\n");
@@ -76,7 +77,7 @@
         "  10.0.0.2:1 d1 small-shop north 1.0\n");
 }
 
-TEST_CASE("records that mean nothing are told and leave the rest alone") {
+TEST_CASE("records that cannot be used are reported and do not affect other services") {
   const std::pair<std::string, std::string> bad[] = {
       {"s SRV 0 1 1 a\na A 10.0.0.1\n", "no TXT record with destination=NUMBER beside its SRV"},
       {"s SRV 0 1 1 a\ns TXT destination=x\na A 10.0.0.1\n", "destination=NUMBER"},
@@ -98,7 +99,7 @@
   }
 }
 
-TEST_CASE("changes: those services alone, and the same as from scratch") {
+TEST_CASE("a change maps only the affected services, with the same result as a complete mapping") {
   std::string text;
   for (int n = 0; n < 12; ++n) {
     const std::string name = "s" + std::to_string(n);
@@ -117,7 +118,7 @@
   const Name key = Name::Known("k.");
   const std::vector<dns::Grant> grants = {{key, kOrigin, {}, true, false}};
   std::mt19937 random(3);
-  std::size_t worked = 0;
+  std::size_t mapped_services = 0;
   for (int step = 0; step < 300; ++step) {
     dns::Message update;
     update.question = {{kOrigin, dns::type::kSoa, dns::klass::kIn}};
@@ -153,7 +154,7 @@
     if (!outcome.change) continue;
     REQUIRE(zone.Apply(*outcome.change));
     for (const auto& changed : map.Apply(zone, *outcome.change)) {
-      ++worked;
+      ++mapped_services;
       now[changed.name] = Text({changed});
       if (changed.members.empty() && changed.faults.empty()) now.erase(changed.name);
     }
@@ -167,7 +168,7 @@
     REQUIRE(now == fresh);
     REQUIRE(map.services() == scratch.services());
   }
-  CHECK(worked < 300 * 6);
+  CHECK(mapped_services < 300 * 6);
   for (const auto& gone : map.Replace(Read(""))) CHECK(gone.members.empty());
   CHECK(map.services() == 0);
 }
--- a/tests/records/records_test.cpp
+++ b/tests/records/records_test.cpp
@@ -1,4 +1,4 @@
-// Typed records: what unifies, what is refused and with which words, and garbage.
+// Tests of typed records: unification, the texts of faults, and invalid input.
 #include "records/records.hpp"
 
 #include <doctest/doctest.h>
@@ -30,7 +30,7 @@
 
 Record Read(const std::string& text) { return Load({text, "f"}, {kSchema, "schema"}, "#File"); }
 
-// All faults, one a line.
+// Returns all faults, one per line.
 std::string FaultsOf(const std::string& text) {
   try {
     Read(text);
@@ -51,7 +51,7 @@
 
 std::string Alone(const std::string& text) { return LoadAlone({text, "f"}).Canonical(); }
 
-TEST_CASE("a file gets the schema's defaults and keeps what it says") {
+TEST_CASE("a file gets the schema's defaults and keeps its own values") {
   const Record file = Read(R"(
 partners: [
   {name: "evergreen", kind: "big-retail", pace: 1.5s, limit: 30/m, wait: 250ms},  // the large one
@@ -81,7 +81,7 @@
   CHECK_THROWS_AS(static_cast<void>(file.At("nothing")), std::logic_error);
 }
 
-TEST_CASE("each fault names its place, what was expected and what was found") {
+TEST_CASE("each fault contains its place, what was expected and what was found") {
   const auto has = [](const std::string& text, const std::string& words) {
     const std::string faults = FaultsOf(text);
     CHECK_MESSAGE(faults.find(words) != std::string::npos, faults);
@@ -105,13 +105,13 @@
       "you mean string?");
   has("partners: [#Partnr]", "f:1:12: no definition #Partnr, did you mean #Partner?");
   has("labels: 4\npartners: [{name: \"a\"}]", "f:1:9: expected a struct, found 4");
-  // Several at once, each with its own line.
+  // Several faults are reported together, each on its own line.
   const std::string faults =
       FaultsOf("partners: [{name: 1, pace: \"x\"}, {nmae: \"b\"}]\ncount: true\nroom: 5ms\n");
   CHECK(std::count(faults.begin(), faults.end(), '\n') >= 3);
 }
 
-TEST_CASE("what does not read names the place and what was expected") {
+TEST_CASE("a syntax error contains its place and what was expected") {
   const auto has = [](const std::string& text, const std::string& words) {
     const std::string faults = AloneFaults(text);
     CHECK_MESSAGE(faults.find(words) != std::string::npos, faults);
@@ -142,7 +142,7 @@
   has("a: 1 | 2", "no value for a: expected 1 | 2");
 }
 
-TEST_CASE("values unify as CUE's do") {
+TEST_CASE("values unify as in CUE") {
   CHECK(Alone("a: int & 5") == "{\"a\": 5}");
   CHECK(Alone("a: number & 5") == "{\"a\": 5}");
   CHECK(Alone("a: *1 | 2") == "{\"a\": 1}");
@@ -168,7 +168,7 @@
   CHECK(LoadAlone({"a: 5ms, b: [true]", "f"}).Json() == "{\"a\": 5000000, \"b\": [true]}");
 }
 
-TEST_CASE("a short file cannot ask for work without end") {
+TEST_CASE("the work of evaluating a short file is limited") {
   std::string text;
   for (int i = 0; i < 30; ++i) {
     text += "#D" + std::to_string(i + 1) + ": #D" + std::to_string(i) + " & (#D" +
@@ -178,7 +178,7 @@
         std::string::npos);
 }
 
-TEST_CASE("cuts and changes of a good file, and garbage, are read or refused with a place") {
+TEST_CASE("truncated, modified and random files are read or rejected with a fault") {
   const std::string good = R"(
 #Base: {pace: duration & >=1ms | *5ms, tags: [...string]}
 partners: [{name: "a", kind: "big-retail", wait: 5ms}, {name: "b \u0041", share: 10%}]
