--- a/src/records/records.hpp
+++ b/src/records/records.hpp
@@ -44,8 +44,8 @@
   [[nodiscard]] const Struct& Fields() const;
 
   [[nodiscard]] const Record& At(std::string_view name) const;
-  [[nodiscard]] const Record* Find(
-      std::string_view name) const;  // nullptr: an optional field is absent
+  // Returns nullptr if an optional field is absent.
+  [[nodiscard]] const Record* Find(std::string_view name) const;
 
   // Returns a fault at this value's place, for constraints that a schema cannot express.
   [[nodiscard]] Fault Complain(std::string message) const { return {at_, std::move(message), {}}; }
--- a/src/records/unify.cpp
+++ b/src/records/unify.cpp
@@ -9,8 +9,8 @@
 namespace brassfront::records {
 namespace {
 
-constexpr std::size_t kMaxSteps =
-    500'000;  // evaluation steps; a file of a thousand records takes some 20,000
+// Maximum number of evaluation steps; a file of a thousand records takes some 20,000.
+constexpr std::size_t kMaxSteps = 500'000;
 
 constexpr std::array<const char*, 10> kKindNames = {
     "any", "bool", "int", "number", "string", "duration", "size", "rate", "a list", "a struct"};
