--- a/src/records/unify.cpp
+++ b/src/records/unify.cpp
@@ -9,8 +9,8 @@
 namespace brassfront::records {
 namespace {
 
-constexpr std::size_t kMaxWork =
-    500'000;  // terms made; a file of a thousand records takes some 20,000
+// Maximum number of evaluation steps; a file of a thousand records takes some 20,000.
+constexpr std::size_t kMaxSteps = 500'000;
 
 constexpr std::array<const char*, 10> kKindNames = {
     "any", "bool", "int", "number", "string", "duration", "size", "rate", "a list", "a struct"};
@@ -53,8 +53,8 @@
   return term;
 }
 
-// The kind that is both; nothing if there is none.
-std::optional<Kind> Meet(Kind a, Kind b) {
+// Returns the kind that satisfies both; nothing if there is none.
+std::optional<Kind> CommonKind(Kind a, Kind b) {
   if (a == Kind::kAny) return b;
   if (b == Kind::kAny || a == b) return a;
   const auto numbers = [](Kind x, Kind y) { return x == Kind::kInt && y == Kind::kNumber; };
@@ -69,7 +69,7 @@
   return a == b;
 }
 
-// In the largest unit that leaves no fraction.
+// Uses the largest unit in which the value is a whole number.
 std::string DurationText(std::int64_t ns) {
   constexpr auto kUnits =
       std::to_array<std::pair<const char*, std::int64_t>>({{"h", 3'600'000'000'000},
@@ -143,7 +143,7 @@
   return number->value != limit->value;
 }
 
-// Any value within the bound.
+// Returns a term that allows any value within the bound.
 Term BoundTerm(const Place& at, const Expression::Bound& bound) {
   Term term;
   term.at = at;
@@ -172,16 +172,17 @@
   faults_.push_back({std::move(at), std::move(message), std::move(declared)});
 }
 
-// Guards against alternatives of alternatives, of which a short file can make any number.
-void Evaluator::Spend(const Place& at) {
-  if (++work_ <= kMaxWork) return;
-  throw TooMuch{{at, "too much to evaluate: too many alternatives or records", {}}};
+// Limits the number of evaluation steps, since even a short file with nested alternatives can
+// expand to any number of them.
+void Evaluator::CountStep(const Place& at) {
+  if (++steps_ <= kMaxSteps) return;
+  throw StepLimitExceeded{{at, "too much to evaluate: too many alternatives or records", {}}};
 }
 
 // ======== evaluation ========
 
 ValuePtr Evaluator::Evaluate(const Expression& expression, const Scope& scope, bool closing) {
-  Spend(expression.at);
+  CountStep(expression.at);
   const auto& form = expression.form;
   if (const auto* name = std::get_if<Expression::Name>(&form)) {
     return EvaluateName(expression, name->text);
@@ -296,7 +297,8 @@
 ValuePtr Evaluator::EvaluateDefinition(const Expression& reference, const Field& definition,
                                        const Scope& scope) {
   const Expression* value = definition.value.get();
-  if (const auto done = done_.find(value); done != done_.end()) return done->second;
+  if (const auto known = evaluated_definitions_.find(value); known != evaluated_definitions_.end())
+    return known->second;
   if (std::find(evaluating_.begin(), evaluating_.end(), value) != evaluating_.end()) {
     Complain(reference.at, definition.name + " refers to itself", definition.at);
     return nullptr;
@@ -304,7 +306,7 @@
   evaluating_.push_back(value);
   ValuePtr evaluated = Evaluate(*value, scope, true);
   evaluating_.pop_back();
-  return done_.emplace(value, std::move(evaluated)).first->second;
+  return evaluated_definitions_.emplace(value, std::move(evaluated)).first->second;
 }
 
 ValuePtr Evaluator::EvaluateStruct(const Expression& expression, const Expression::Struct& form,
@@ -345,12 +347,12 @@
     for (const Value::Alternative& b : found.alternatives) {
       std::vector<Fault> before;
       if (!only) before.swap(faults_);
-      Found term = UnifyTerms(a.term, b.term);
+      OptionalTerm term = UnifyTerms(a.term, b.term);
       if (!only) {
         all_faults.push_back(std::exchange(faults_, std::move(before)));
       }
       if (!term) continue;
-      // Unlike in CUE the later default wins, so that a file may have defaults of its own.
+      // Unlike in CUE, the later default wins, so that a file can override defaults.
       const bool preferred = found.has_default ? b.preferred : a.preferred;
       out.has_default |= preferred;
       out.alternatives.push_back({std::move(*term), preferred});
@@ -358,13 +360,13 @@
   }
   if (!out.alternatives.empty()) return std::make_shared<const Value>(std::move(out));
   if (only) return nullptr;
-  return NoneFits(declared, found, std::move(all_faults));
+  return ReportNoMatch(declared, found, std::move(all_faults));
 }
 
-// No alternative fits: the fault of the one that was most likely meant, or what there was to
-// choose.
-ValuePtr Evaluator::NoneFits(const Value& declared, const Value& found,
-                             std::vector<std::vector<Fault>> all_faults) {
+// Reports that no alternative matches: either with the faults of the alternative that was most
+// likely intended, or with the list of alternatives.
+ValuePtr Evaluator::ReportNoMatch(const Value& declared, const Value& found,
+                                  std::vector<std::vector<Fault>> all_faults) {
   const Term& term = found.alternatives.front().term;
   const std::vector<Fault>* best = nullptr;
   std::vector<std::string> texts;
@@ -378,7 +380,7 @@
       continue;
     }
     only_scalars = false;
-    if (!Meet(choice.kind, term.kind)) continue;
+    if (!CommonKind(choice.kind, term.kind)) continue;
     const std::vector<Fault>& faults = all_faults[i * found.alternatives.size()];
     if (best == nullptr || faults.size() < best->size()) best = &faults;
   }
@@ -394,9 +396,9 @@
   return nullptr;
 }
 
-Evaluator::Found Evaluator::UnifyTerms(const Term& a, const Term& b) {
-  Spend(b.at);
-  const auto kind = Meet(a.kind, b.kind);
+Evaluator::OptionalTerm Evaluator::UnifyTerms(const Term& a, const Term& b) {
+  CountStep(b.at);
+  const auto kind = CommonKind(a.kind, b.kind);
   if (!kind) {
     Complain(b.at, "expected " + Describe(a) + ", found " + Describe(b), a.at);
     return std::nullopt;
@@ -480,7 +482,8 @@
     out.items.push_back(std::move(value));
   }
   if (a.rest && b.rest) {
-    // Two types for further items that no item meets are no fault: there may be none.
+    // It is not a fault if the types of further items cannot be unified, since there may be no
+    // further items.
     std::vector<Fault> before = faults_;
     out.rest = Unify(*a.rest, *b.rest);
     faults_ = std::move(before);
@@ -532,7 +535,7 @@
   bool good = true;
   Record::Struct fields;
   for (const Term::Slot& slot : term.fields) {
-    if (slot.optional) continue;  // declared, and not given
+    if (slot.optional) continue;  // declared but not given
     auto field = Finish(*slot.value, slot.name, term.at);
     good &= field.has_value();
     if (field) fields.emplace_back(slot.name, std::move(*field));
@@ -541,7 +544,7 @@
   return Record(term.at, std::move(fields));
 }
 
-// ======== words ========
+// ======== descriptions for faults ========
 
 std::string Describe(const Term& term) {
   if (term.scalar) return ScalarText(*term.scalar);
