--- a/src/consensus/raft_node.cpp
+++ b/src/consensus/raft_node.cpp
@@ -16,7 +16,7 @@
 
 // Entries after which a snapshot is taken, and entries before it that stay for followers that lag
 // behind. Together 72 entries of kMaxCommandBytes, 36 KiB: the longest AppendEntries message has to
-// fit into one frame (peers::kMostFrame, 60 KiB).
+// fit into one frame (peers::kMaxFrameBytes, 60 KiB).
 constexpr unsigned kSnapshotThreshold = 48;
 constexpr unsigned kSnapshotTrailing = 24;
 // A snapshot that is not acknowledged within so many election timeouts is sent again: the follower
@@ -98,11 +98,11 @@
   if (may_vote_) Start();
 }
 
-void RaftNode::Receive(const std::string& from, std::uint64_t identity, bool founding,
+void RaftNode::Receive(const std::string& from, std::uint64_t identity, bool is_bootstrap,
                        std::string_view body, Time now) {
   raft_->adapter.SetTime(now);
   if (broken()) return;
-  if (founding) return ReceiveBootstrap(from, identity, body, now);
+  if (is_bootstrap) return ReceiveBootstrap(from, identity, body, now);
   // A node without a log joins: the leader that knows its folder's id has added it.
   const bool may_join = persistent_.empty() && !damaged_;
   if (!started_ && !may_join) return;
@@ -128,7 +128,7 @@
   const raft_buffer buffer = AllocateBuffer(command);
   const auto finish = [](struct raft_apply* apply, int status, void*) {
     const std::unique_ptr<Request> finished(static_cast<Request*>(apply->data));
-    finished->done(status == 0 ? Outcome::kSettled : Outcome::kUnknown);
+    finished->done(status == 0 ? Outcome::kApplied : Outcome::kUnknown);
   };
   if (raft_apply(&raft_->raft, &request->apply, &buffer, 1, finish) != 0) {
     raft_free(buffer.base);
--- a/src/consensus/raft_node.hpp
+++ b/src/consensus/raft_node.hpp
@@ -36,7 +36,7 @@
 using Time = std::chrono::nanoseconds;  // on the member's own monotonic clock
 
 // Bounds an AppendEntries message: at most the entries that one snapshot interval leaves in the log
-// (raft_node.cpp), of this size each, fit into one frame (peers::kMostFrame).
+// (raft_node.cpp), of this size each, fit into one frame (peers::kMaxFrameBytes).
 inline constexpr std::size_t kMaxCommandBytes = 512;
 
 class RaftNode {
@@ -51,13 +51,13 @@
     std::uint64_t seed = 1;  // of the election timeouts
   };
   struct Message {
-    std::string to;         // a member's name
-    bool founding = false;  // of the bootstrap, else of Raft
+    std::string to;             // a member's name
+    bool is_bootstrap = false;  // of the bootstrap, else of Raft
     std::string body;
   };
-  // What became of a proposed command. kSettled: it is committed and applied. kNotLeader, kTooLong:
+  // What became of a proposed command. kApplied: it is committed and applied. kNotLeader, kTooLong:
   // it never will be. kUnknown: it may be committed yet; propose it again under the same number.
-  enum class Outcome { kSettled, kNotLeader, kTooLong, kUnknown };
+  enum class Outcome { kApplied, kNotLeader, kTooLong, kUnknown };
   using Done = std::function<void(Outcome)>;
 
   // `store` and `machine` must outlive the node. Throws std::runtime_error where libraft cannot be
@@ -75,7 +75,7 @@
   [[nodiscard]] Time Next() const { return broken() ? Time::max() : next_tick_; }
   // A message of the member `from`, whose folder is `identity` as its frame says. What cannot be
   // read is dropped.
-  void Receive(const std::string& from, std::uint64_t identity, bool founding,
+  void Receive(const std::string& from, std::uint64_t identity, bool is_bootstrap,
                std::string_view body, Time now);
   // What to send, in order. Each call returns a message once.
   std::vector<Message> TakeMessages() { return std::exchange(messages_, {}); }
--- a/src/fleet/duty_executor.cpp
+++ b/src/fleet/duty_executor.cpp
@@ -39,7 +39,7 @@
 }
 
 void DutyExecutor::RestoreExclusions(const maintenance::MaintenanceState& state) {
-  exclusions_.SetExcluded(ExclusionSource::kFleet, ComputeDutyFrom(state).ban,
+  exclusions_.SetExcluded(ExclusionSource::kFleet, ComputeDutyFrom(state).excluded_endpoints,
                           [](const MemberList&) {});
 }
 
@@ -49,8 +49,8 @@
   ObserveForwarder(now);
   maintenance::Duty duty = ComputeDutyFrom(state);
   if (duty.stand_by != local_.standing_by) SetStandby(duty.stand_by, now);
-  if (duty.ban != requested_exclusions_) SetExclusions(duty.ban);
-  return std::move(duty.say);
+  if (duty.excluded_endpoints != requested_exclusions_) SetExclusions(duty.excluded_endpoints);
+  return std::move(duty.commands);
 }
 
 void DutyExecutor::ObserveForwarder(Time now) {
@@ -75,7 +75,7 @@
   }
   requested_exclusions_ = endpoints;
   // Until the engine has taken up the new set, only what both sets have is certain.
-  std::erase_if(local_.banned,
+  std::erase_if(local_.excluded_endpoints,
                 [&](const std::string& endpoint) { return !endpoints.contains(endpoint); });
   exclusions_.SetExcluded(ExclusionSource::kFleet, endpoints, forwarder_.set_endpoints);
   for (std::string& endpoint : readmitted) {
--- a/src/fleet/duty_executor.hpp
+++ b/src/fleet/duty_executor.hpp
@@ -40,7 +40,9 @@
   void MakeDue() { timer_.MakeDue(); }
   [[nodiscard]] Time Next() const { return timer_.next(); }
 
-  void ConfirmExclusions(std::set<std::string> endpoints) { local_.banned = std::move(endpoints); }
+  void ConfirmExclusions(std::set<std::string> endpoints) {
+    local_.excluded_endpoints = std::move(endpoints);
+  }
   [[nodiscard]] const maintenance::LocalMember& local_member() const { return local_; }
 
  private:
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -184,16 +184,16 @@
   failure_detector_.Receive(frame, now);
   if (roster_.roster().Find(frame.from) == nullptr || frame.from == self_name_) return;
   switch (frame.kind) {
-    case peers::Kind::kSettled:
-    case peers::Kind::kFound:
+    case peers::Kind::kRaftMessage:
+    case peers::Kind::kBootstrap:
       return replicated_log_.Receive(frame, now);
-    case peers::Kind::kAsk:
+    case peers::Kind::kCommand:
       return HandleForwardedCommand(frame);
-    case peers::Kind::kNews:
+    case peers::Kind::kReplicatedState:
       return HandleStateMessage(frame);
-    case peers::Kind::kWant:
-    case peers::Kind::kGrant:
-    case peers::Kind::kWords:
+    case peers::Kind::kLeaseRequest:
+    case peers::Kind::kLeaseGrant:
+    case peers::Kind::kHealthReports:
       if (sharing_) sharing_->Receive(frame, now);
       return;
     default:
@@ -217,7 +217,7 @@
     const maintenance::MaintenanceState& known = known_state_.get();
     StateUpdate reply{.revision = known.revision(), .leader = KnownLeader(), .state = ""};
     if (known.revision() > request->revision) reply.state = known.Save();
-    return QueueFrame(peers::Kind::kNews, frame.from, Encode(reply));
+    return QueueFrame(peers::Kind::kReplicatedState, frame.from, Encode(reply));
   }
   const auto& update = std::get<StateUpdate>(*message);
   state_exchange_.SetReportedLeader(update.leader);
@@ -233,7 +233,7 @@
 void Fleet::SendFrames() {
   for (const peers::Frame& frame : failure_detector_.TakeFrames()) transport_.Send(frame);
   for (consensus::RaftNode::Message& message : replicated_log_.TakeMessages()) {
-    const auto kind = message.founding ? peers::Kind::kFound : peers::Kind::kSettled;
+    const auto kind = message.is_bootstrap ? peers::Kind::kBootstrap : peers::Kind::kRaftMessage;
     QueueFrame(kind, message.to, std::move(message.body));
   }
   for (const peers::Frame& frame : std::exchange(outgoing_frames_, {})) transport_.Send(frame);
@@ -256,7 +256,7 @@
     return replicated_log_.Propose(command.Encode(), IgnoreOutcome);
   }
   const std::string leader = KnownLeader();
-  if (!leader.empty()) QueueFrame(peers::Kind::kAsk, leader, command.Encode());
+  if (!leader.empty()) QueueFrame(peers::Kind::kCommand, leader, command.Encode());
 }
 
 void Fleet::UpdateLeadership(Time now) {
@@ -278,7 +278,7 @@
   if (!recipient) return;
   const StateRequest request{.revision = known_state_.get().revision(),
                              .messages_in_flight = forwarder_.messages_in_flight()};
-  QueueFrame(peers::Kind::kNews, *recipient, Encode(request));
+  QueueFrame(peers::Kind::kReplicatedState, *recipient, Encode(request));
 }
 
 // ======== limits, health reports, operators ========
--- a/src/fleet/health_traffic.cpp
+++ b/src/fleet/health_traffic.cpp
@@ -32,7 +32,7 @@
       return PeerHealth::kWarmingUp;
     case HealthAdvice::What::kServes:
       return PeerHealth::kServing;
-    case HealthAdvice::What::kTried:
+    case HealthAdvice::What::kTestedByOther:
       break;
   }
   return PeerHealth::kBeingTested;
@@ -58,7 +58,7 @@
       return table_.Failed(endpoint, now);
     case Outcome::kRejected:
       if (call.retry_after >= kMinSharedRetryAfter) {
-        table_.ToldWait(endpoint, call.retry_after, now);
+        table_.OnRetryAfter(endpoint, call.retry_after, now);
       }
       return;
     case Outcome::kNotSent:
@@ -68,14 +68,14 @@
 }
 
 void HealthTraffic::Receive(const peers::Frame& frame, Time now) {
-  table_.Take(frame.from, frame.body, now);
+  table_.Receive(frame.from, frame.body, now);
 }
 
 void HealthTraffic::Tick(Time now, std::vector<OutgoingFrame>& out) {
   if (table_timer_.StartIfDue(now)) table_.Tick(now);
-  verdicts::HealthReportTable::Saying round = table_.Say(now);
+  verdicts::HealthReportTable::OutgoingReports round = table_.TakeOutgoingReports(now);
   for (std::string& to : round.to) {
-    out.push_back({peers::Kind::kWords, std::move(to), round.bytes});
+    out.push_back({peers::Kind::kHealthReports, std::move(to), round.bytes});
   }
 }
 
@@ -87,7 +87,7 @@
     dispatch_policy::PeerHealthReport report;
     report.health = ToPeerHealth(advice.what);
     report.age = advice.age;
-    report.duration = advice.rest;
+    report.duration = advice.duration;
     report.witnesses = advice.witnesses;
     updates.push_back({advice.endpoint, report});
   }
--- a/src/fleet/health_traffic.hpp
+++ b/src/fleet/health_traffic.hpp
@@ -27,7 +27,7 @@
   // What a call of this member's shows of its endpoint.
   void OnCallCompleted(const CallCompleted& call, Time now);
 
-  // A frame of kind kWords.
+  // A frame of kind kHealthReports.
   void Receive(const peers::Frame& frame, Time now);
   // Members that are heard, this one too.
   void SetPresent(std::vector<std::string> present) { table_.SetPresent(std::move(present)); }
--- a/src/fleet/known_state.cpp
+++ b/src/fleet/known_state.cpp
@@ -40,7 +40,7 @@
   for (const auto& [id, request] : state_.requests()) {
     if (state_before(id) != request.state) LogRequest(request);
   }
-  for (const auto& request : state_.over()) {
+  for (const auto& request : state_.finished_requests()) {
     if (state_before(request.id)) LogRequest(request);
   }
 }
@@ -50,7 +50,7 @@
                {{"request", request.id},
                 {"name", request.name},
                 {"state", ToString(request.state)},
-                {"used", state_.UsedInAll()},
+                {"used", state_.SlotsInUse()},
                 {"revision", state_.revision()}});
 }
 
--- a/src/fleet/lease_traffic.cpp
+++ b/src/fleet/lease_traffic.cpp
@@ -103,9 +103,9 @@
 }
 
 void LeaseTraffic::Receive(const peers::Frame& frame, Time now, std::vector<OutgoingFrame>& out) {
-  if (frame.kind == peers::Kind::kGrant) {
+  if (frame.kind == peers::Kind::kLeaseGrant) {
     const auto grant = quota::LeaseGrant::Decode(frame.body);
-    if (grant && frame.from == requested_from_) holder_.Take(*grant, now);
+    if (grant && frame.from == requested_from_) holder_.ApplyGrant(*grant, now);
     return;
   }
   const auto request = quota::LeaseRequestBatch::Decode(frame.body);
@@ -116,20 +116,20 @@
                                Time now, std::vector<OutgoingFrame>& out) {
   const auto grant = grantor_.Answer(holder, request, now);
   if (!grant) return;
-  if (holder == self_) return holder_.Take(*grant, now);
-  out.push_back({peers::Kind::kGrant, holder, grant->Encode()});
+  if (holder == self_) return holder_.ApplyGrant(*grant, now);
+  out.push_back({peers::Kind::kLeaseGrant, holder, grant->Encode()});
 }
 
 void LeaseTraffic::RequestLeases(const std::string& leader, Time now,
                                  std::vector<OutgoingFrame>& out) {
   if (!leads_ && leader.empty()) return;
-  const auto request = holder_.Ask(now);
+  const auto request = holder_.NextRequest(now);
   if (!request) return;
   requested_from_ = leads_ ? self_ : leader;
   if (leads_) {
     GrantLeases(self_, *request, now, out);
   } else {
-    out.push_back({peers::Kind::kWant, leader, request->Encode()});
+    out.push_back({peers::Kind::kLeaseRequest, leader, request->Encode()});
   }
 }
 
--- a/src/fleet/lease_traffic.hpp
+++ b/src/fleet/lease_traffic.hpp
@@ -40,7 +40,8 @@
   // for as long as an election takes may have lost the lead without knowing: it starts over, and
   // grants nothing at first.
   void SetLeadership(bool leads, Time now);
-  // A frame of kind kWant or kGrant. A grant counts only from the member that was asked.
+  // A frame of kind kLeaseRequest or kLeaseGrant. A grant counts only from the member that was
+  // asked.
   void Receive(const peers::Frame& frame, Time now, std::vector<OutgoingFrame>& out);
   // Sends a request for leases if one is due. An empty leader: none is known.
   void RequestLeases(const std::string& leader, Time now, std::vector<OutgoingFrame>& out);
--- a/src/fleet/maintenance_commands.cpp
+++ b/src/fleet/maintenance_commands.cpp
@@ -50,7 +50,7 @@
                                 Command command) {
   if (command.name.empty()) return CommandError{verb + " needs a name"};
   if (verb == "ask") {
-    command.verb = Verb::kAsk;
+    command.verb = Verb::kRequest;
   } else if (verb == "back") {
     command.verb = Verb::kBringBack;
   } else {
@@ -83,7 +83,7 @@
   if (held == nullptr || (*held != "yes" && *held != "no")) {
     return CommandError{"hold needs on=yes or on=no"};
   }
-  command.verb = Verb::kHold;
+  command.verb = Verb::kPauseGrants;
   command.flag = *held == "yes";
   return command;
 }
--- a/src/fleet/peer_change_log.cpp
+++ b/src/fleet/peer_change_log.cpp
@@ -31,7 +31,7 @@
 
 void PeerChangeLog::Write(peers::FailureDetector& failure_detector) {
   for (const auto& [name, peer] : failure_detector.peers()) {
-    if (peer.flips < kMinIdentityFlipsOfDuplicate) continue;
+    if (peer.identity_flips < kMinIdentityFlipsOfDuplicate) continue;
     if (!logged_duplicates_.insert(name).second) continue;
     observe::Log(Concern::kFleet, Level::kError, "name given twice", {{"name", name}});
   }
--- a/src/fleet/peer_transport.cpp
+++ b/src/fleet/peer_transport.cpp
@@ -37,7 +37,7 @@
 }  // namespace
 
 PeerTransport::PeerTransport(const peers::Roster& roster, std::string self)
-    : roster_(roster), self_(std::move(self)), receive_buffer_(peers::kMostFrame + 1) {}
+    : roster_(roster), self_(std::move(self)), receive_buffer_(peers::kMaxFrameBytes + 1) {}
 
 void PeerTransport::Open(const std::string& address) {
   const bool bound = RetryAtStart(SystemCall::kBind, [&] {
@@ -83,7 +83,7 @@
   const peers::Member* to = roster_.Find(frame.to);
   if (to == nullptr) return;
   const std::string bytes = peers::Encode(frame, roster_.fleet, roster_.secret);
-  if (bytes.size() > peers::kMostFrame) {
+  if (bytes.size() > peers::kMaxFrameBytes) {
     observe::LogSeldom(Concern::kFleet, Level::kError, "frame too long",
                        {{"to", frame.to}, {"bytes", bytes.size()}});
     return;
--- a/src/fleet/replicated_log.cpp
+++ b/src/fleet/replicated_log.cpp
@@ -97,8 +97,8 @@
 
 void ReplicatedLog::Receive(const peers::Frame& frame, Time now) {
   if (!node_) return;
-  const bool founding = frame.kind == peers::Kind::kFound;
-  node_->Receive(frame.from, frame.identity, founding, frame.body, now);
+  const bool is_bootstrap = frame.kind == peers::Kind::kBootstrap;
+  node_->Receive(frame.from, frame.identity, is_bootstrap, frame.body, now);
 }
 
 std::vector<consensus::RaftNode::Message> ReplicatedLog::TakeMessages() {
--- a/src/fleet/replicated_log.hpp
+++ b/src/fleet/replicated_log.hpp
@@ -44,7 +44,7 @@
   void Tick(Time now);
   [[nodiscard]] Time Next() const;
 
-  // A frame of kind kSettled or kFound.
+  // A frame of kind kRaftMessage or kBootstrap.
   void Receive(const peers::Frame& frame, Time now);
   [[nodiscard]] std::vector<consensus::RaftNode::Message> TakeMessages();
   // Only on the leader. `done` is called once, during this call or a later one.
--- a/src/fleet/reports.cpp
+++ b/src/fleet/reports.cpp
@@ -37,8 +37,8 @@
          ", \"votes\": " + (view.votes ? "true" : "false") +
          ", \"revision\": " + std::to_string(view.known_state.revision()) +
          ", \"places\": " + std::to_string(view.known_state.max_out_total()) +
-         ", \"used\": " + std::to_string(view.known_state.UsedInAll()) +
-         ", \"held\": " + (view.known_state.held() ? "true" : "false") +
+         ", \"used\": " + std::to_string(view.known_state.SlotsInUse()) +
+         ", \"held\": " + (view.known_state.grants_paused() ? "true" : "false") +
          ", \"standing_by\": " + (view.local_member.standing_by ? "true" : "false") +
          ", \"open_requests\": " + std::to_string(view.known_state.requests().size()) + "}";
 }
@@ -63,13 +63,13 @@
   }
   const peers::FailureDetector::Counts& counts = view.failure_detector.counts();
   return "{\"members\": [" + rows +
-         "], \"doubt\": " + std::to_string(view.failure_detector.doubt()) +
+         "], \"doubt\": " + std::to_string(view.failure_detector.local_health_score()) +
          ", \"probes\": " + std::to_string(counts.probes) +
          ", \"missed\": " + std::to_string(counts.missed) +
-         ", \"denials\": " + std::to_string(counts.denials) +
+         ", \"denials\": " + std::to_string(counts.refutations) +
          ", \"stale\": " + std::to_string(counts.stale) +
          ", \"pauses\": " + std::to_string(counts.pauses) +
-         ", \"named_twice\": " + std::to_string(counts.twice) + "}";
+         ", \"named_twice\": " + std::to_string(counts.duplicate_sender_frames) + "}";
 }
 
 std::string RequestsJson(const MaintenanceState& state) {
@@ -77,7 +77,7 @@
   for (const auto& [id, request] : state.requests()) {
     open += (open.empty() ? "" : ", ") + RequestJson(state, request);
   }
-  for (const Request& request : state.over()) {
+  for (const Request& request : state.finished_requests()) {
     over += (over.empty() ? "" : ", ") + RequestJson(state, request);
   }
   return "{\"open\": [" + open + "], \"over\": [" + over + "]}";
--- a/src/fleet/sharing.cpp
+++ b/src/fleet/sharing.cpp
@@ -54,7 +54,7 @@
 
 void Sharing::Receive(const peers::Frame& frame, Time now) {
   const std::lock_guard lock(mutex_);
-  if (frame.kind == peers::Kind::kWords) {
+  if (frame.kind == peers::Kind::kHealthReports) {
     if (settings_.verdicts) health_.Receive(frame, now);
   } else if (settings_.limits) {
     leases_.Receive(frame, now, outgoing_frames_);
--- a/src/fleet/sharing.hpp
+++ b/src/fleet/sharing.hpp
@@ -39,7 +39,7 @@
   // First in each turn, before frames are received: `leads` tells whether this member leads the
   // replicated log.
   void Tick(bool leads, Time now);
-  // A frame of kind kWant, kGrant or kWords.
+  // A frame of kind kLeaseRequest, kLeaseGrant or kHealthReports.
   void Receive(const peers::Frame& frame, Time now);
   // Requests leases and sends reports as they are due. `leader` is empty if none is known;
   // `present`: members that are heard, this one too.
--- a/src/fleet/sharing_reports.cpp
+++ b/src/fleet/sharing_reports.cpp
@@ -52,7 +52,7 @@
   row += ",\"witness\":" + json::Quote(report.witness);
   row += ",\"seen\":" + json::Quote(ToString(report.seen));
   row += ",\"age_s\":" + SecondsToText(now - report.at);
-  row += ",\"rest_s\":" + SecondsToText(report.rest);
+  row += ",\"rest_s\":" + SecondsToText(report.wait_duration);
   row += ",\"times\":" + std::to_string(report.times) + ",\"counts\":";
   row += counts ? "true}" : "false}";
   return row;
@@ -62,7 +62,7 @@
                         const verdicts::HealthReportTable::Witness& witness, Time now) {
   std::string row = "{\"name\":" + json::Quote(name);
   row += ",\"strikes\":" + std::to_string(witness.strikes) + ",\"shunned_for_s\":";
-  row += SecondsToText(std::max(Time{}, witness.shunned_until - now)) + "}";
+  row += SecondsToText(std::max(Time{}, witness.distrusted_until - now)) + "}";
   return row;
 }
 
@@ -109,7 +109,7 @@
 
 std::string VerdictsJson(const verdicts::HealthReportTable& table, Time now) {
   std::string reports;
-  for (const auto& [key, report] : table.words()) {
+  for (const auto& [key, report] : table.reports()) {
     AppendRow(reports, HealthReportJson(report, table.Counts(report.witness, now), now));
   }
   std::string witnesses;
@@ -128,11 +128,11 @@
              "a new leader grants nothing for so long; floors hold");
   bounds.Add("lease_ends_s", SecondsToText(settings.Stretched(settings.term)),
              "after a cut, a pause or a death its lease is free again, at most");
-  bounds.Add("lowered_s", SecondsToText(settings.LoweredFor(undetected)),
+  bounds.Add("lowered_s", SecondsToText(settings.MaxTimeAtOldRate(undetected)),
              "after a limit falls calls of the old rate may go on, at most");
   bounds.Add("word_kept_s", SecondsToText(roster.sharing.kept), "a word on an endpoint is dropped");
   for (const auto& [key, limit] : settings.listed) {
-    bounds.Add("over_" + key, NumberToText(settings.MostAtOnce(limit)),
+    bounds.Add("over_" + key, NumberToText(settings.MaxExcessCalls(limit)),
                "calls above " + NumberToText(limit) + "/s times the window, in any window");
     bounds.Add("floor_" + key, NumberToText(settings.FloorOf(limit)),
                "calls a second that a cut-off member may begin");
--- a/src/fleet/state_messages.hpp
+++ b/src/fleet/state_messages.hpp
@@ -1,5 +1,5 @@
-// Codec of the frames of kind kNews, by which a member that does not replicate the log learns the
-// committed state and the leader learns how much each member has in flight.
+// Codec of the frames of kind kReplicatedState, by which a member that does not replicate the log
+// learns the committed state and the leader learns how much each member has in flight.
 //
 //   request: 1 u8 | revision u64 | messages in flight u64
 //   update:  2 u8 | revision u64 | leader: name | state: text
--- a/src/maintenance/maintenance_command.hpp
+++ b/src/maintenance/maintenance_command.hpp
@@ -26,21 +26,21 @@
 
 // What a command does, with the fields of Command that it reads.
 enum class Verb : std::uint8_t {
-  kMember = 1,  // name, text (its zone): the roster lists this member
-  kNoMember,    // name: the roster lists it no longer
-  kLimits,      // process_incarnation, token: slots in total and in each zone
-  kAsk,         // kind, name (or "hall:NAME", "all"), urgency, token: open requests
-  kCancel,      // request, token
-  kHold,        // flag, token: pause or resume grants
-  kBringBack,   // kind, name (or "all"), token: end maintenance
-  kGrant,       // request: gives it a slot
-  kOutNow,      // request: the machine has drained
-  kConfirm,     // request, name, process_incarnation: this member starts no calls to the endpoint
-  kReturned,    // request: the machine serves again
-  kFail,        // request, text (the reason): a deadline passed
-  kDead,        // name, process_incarnation: the leader takes this member for dead
-  kAlive,       // name, process_incarnation: the leader hears this member
-  kEnded        // name, token: an operator states that its process has ended
+  kMember = 1,   // name, text (its zone): the roster lists this member
+  kNoMember,     // name: the roster lists it no longer
+  kLimits,       // process_incarnation, token: slots in total and in each zone
+  kRequest,      // kind, name (or "hall:NAME", "all"), urgency, token: open requests
+  kCancel,       // request, token
+  kPauseGrants,  // flag, token: pause or resume grants
+  kBringBack,    // kind, name (or "all"), token: end maintenance
+  kGrant,        // request: gives it a slot
+  kDrained,      // request: the machine has drained
+  kConfirm,      // request, name, process_incarnation: this member starts no calls to the endpoint
+  kReturned,     // request: the machine serves again
+  kFail,         // request, text (the reason): a deadline passed
+  kDead,         // name, process_incarnation: the leader takes this member for dead
+  kAlive,        // name, process_incarnation: the leader hears this member
+  kEnded         // name, token: an operator states that its process has ended
 };
 
 // One entry of the replicated log. A plain value; unused fields keep their defaults.
--- a/src/maintenance/maintenance_state.cpp
+++ b/src/maintenance/maintenance_state.cpp
@@ -17,7 +17,7 @@
 }
 
 bool IsOperatorCommand(Verb verb) {
-  return verb == Verb::kAsk || verb == Verb::kCancel || verb == Verb::kHold ||
+  return verb == Verb::kRequest || verb == Verb::kCancel || verb == Verb::kPauseGrants ||
          verb == Verb::kBringBack || verb == Verb::kEnded;
 }
 
@@ -66,8 +66,8 @@
   if (request.state != State::kRequested || grants_paused_) return false;
   if (request.kind == Kind::kEndpoint) return true;
   const auto it = members_.find(request.name);
-  return it != members_.end() && !it->second.dead && UsedInAll() < max_out_total_ &&
-         UsedInZone(it->second.zone) < max_out_per_zone_;
+  return it != members_.end() && !it->second.dead && SlotsInUse() < max_out_total_ &&
+         SlotsInUseInZone(it->second.zone) < max_out_per_zone_;
 }
 
 std::string MaintenanceState::WaitsFor(const Request& request) const {
@@ -87,7 +87,7 @@
 
 // The machines whose slots a request in this zone waits for: all, if the fleet has no slot left.
 std::string MaintenanceState::SlotHolders(const std::string& zone) const {
-  const bool fleet_is_full = UsedInAll() >= max_out_total_;
+  const bool fleet_is_full = SlotsInUse() >= max_out_total_;
   std::string holders;
   const auto add = [&](const std::string& name, const std::string& holder_zone, const char* state) {
     if (!fleet_is_full && holder_zone != zone) return;
@@ -147,11 +147,11 @@
 
 void MaintenanceState::ExecuteOperatorCommand(const Command& command) {
   switch (command.verb) {
-    case Verb::kAsk:
+    case Verb::kRequest:
       return StoreResult(command.token, RequestMaintenance(command));
     case Verb::kCancel:
       return StoreResult(command.token, Cancel(command));
-    case Verb::kHold:
+    case Verb::kPauseGrants:
       return StoreResult(command.token, PauseGrants(command));
     case Verb::kBringBack:
       return StoreResult(command.token, BringBack(command));
@@ -188,7 +188,7 @@
   switch (command.verb) {
     case Verb::kGrant:
       return Grant(request);
-    case Verb::kOutNow:
+    case Verb::kDrained:
       return MarkOut(request);
     case Verb::kConfirm:
       return Confirm(request, command);
--- a/src/maintenance/maintenance_state.hpp
+++ b/src/maintenance/maintenance_state.hpp
@@ -91,10 +91,10 @@
   [[nodiscard]] std::uint64_t revision() const { return revision_; }  // counts commands
   [[nodiscard]] const std::map<std::string, MemberState>& members() const { return members_; }
   [[nodiscard]] const std::map<std::uint64_t, Request>& requests() const { return requests_; }
-  [[nodiscard]] const std::deque<Request>& over() const { return finished_; }
+  [[nodiscard]] const std::deque<Request>& finished_requests() const { return finished_; }
   [[nodiscard]] std::size_t max_out_total() const { return max_out_total_; }
   [[nodiscard]] std::size_t max_out_per_zone() const { return max_out_per_zone_; }
-  [[nodiscard]] bool held() const { return grants_paused_; }
+  [[nodiscard]] bool grants_paused() const { return grants_paused_; }
   [[nodiscard]] const std::string& last_zone() const { return last_zone_; }
   // The stored result of the command with this token; nullptr: none, or no longer.
   [[nodiscard]] const RequestResult* ResultFor(std::uint64_t token) const;
@@ -102,8 +102,8 @@
   // The open request for a machine or endpoint; nullptr: none.
   [[nodiscard]] const Request* RequestFor(Kind kind, const std::string& name) const;
   // Slots in use, by dead machines and by granted requests.
-  [[nodiscard]] std::size_t UsedInAll() const { return UsedInZone(""); }
-  [[nodiscard]] std::size_t UsedInZone(const std::string& zone) const {  // empty: in total
+  [[nodiscard]] std::size_t SlotsInUse() const { return SlotsInUseInZone(""); }
+  [[nodiscard]] std::size_t SlotsInUseInZone(const std::string& zone) const {  // empty: in total
     const auto it = slots_in_use_.find(zone);
     return it == slots_in_use_.end() ? 0 : it->second;
   }
--- a/src/maintenance/member_duty.hpp
+++ b/src/maintenance/member_duty.hpp
@@ -14,17 +14,17 @@
 
 // What one member knows of itself.
 struct LocalMember {
-  bool standing_by = false;      // clients are sent to other members
-  bool drained = false;          // and no message is in flight
-  bool serving = false;          // clients are accepted
-  std::set<std::string> banned;  // endpoints to which the engine starts no more calls
+  bool standing_by = false;                  // clients are sent to other members
+  bool drained = false;                      // and no message is in flight
+  bool serving = false;                      // clients are accepted
+  std::set<std::string> excluded_endpoints;  // endpoints to which the engine starts no more calls
 };
 
 // What the committed state asks of one member.
 struct Duty {
-  bool stand_by = false;      // stop accepting clients
-  std::set<std::string> ban;  // endpoints to start no more calls to
-  std::vector<Command> say;   // commands to propose until the state shows them
+  bool stand_by = false;                     // stop accepting clients
+  std::set<std::string> excluded_endpoints;  // endpoints to start no more calls to
+  std::vector<Command> commands;             // commands to propose until the state shows them
 };
 
 // Derives the duty of the member `self` from the newest committed state.
--- a/src/peers/failure_detector.cpp
+++ b/src/peers/failure_detector.cpp
@@ -266,8 +266,8 @@
   peer.last_heard = now;
   if (frame.identity != peer.identity) {
     if (frame.identity == peer.former_identity) {
-      ++peer.flips;
-      ++counts_.twice;
+      ++peer.identity_flips;
+      ++counts_.duplicate_sender_frames;
     }
     peer.former_identity = std::exchange(peer.identity, frame.identity);
   }
@@ -336,7 +336,7 @@
   const bool must_refute = update.state != State::kAlive && update.incarnation >= incarnation_;
   if (!must_refute && update.incarnation <= incarnation_) return;
   incarnation_ = update.incarnation + 1;
-  ++counts_.denials;
+  ++counts_.refutations;
   if (update.state == State::kSuspect) local_health_.Worsen(1);
   Disseminate(self_);
 }
--- a/src/peers/failure_detector.hpp
+++ b/src/peers/failure_detector.hpp
@@ -48,7 +48,7 @@
     std::uint64_t identity = 0;         // of its folder; 0: no frame of it yet
     std::uint64_t former_identity = 0;  // the one before
     // Times that a frame of the former identity came again: two processes use the name.
-    std::size_t flips = 0;
+    std::size_t identity_flips = 0;
     Link link = Link::kTwoWay;
     Time last_heard{};              // when its last frame came to us
     Time suspicion_ends{};          // while suspected: when it is declared dead
@@ -64,14 +64,14 @@
   };
 
   struct Counts {
-    std::uint64_t probes = 0;           // direct ones, one a period
-    std::uint64_t missed = 0;           // probes that nobody answered
-    std::uint64_t indirect_probes = 0;  // probes for which proxies were asked
-    std::uint64_t denials = 0;          // refutations of our own suspicion or death
-    std::uint64_t stale = 0;            // frames of an older incarnation than we know
-    std::uint64_t pauses = 0;           // times that this process was paused
-    std::uint64_t bad = 0;              // frames that could not be read
-    std::uint64_t twice = 0;            // frames of a second process with a peer's name
+    std::uint64_t probes = 0;                   // direct ones, one a period
+    std::uint64_t missed = 0;                   // probes that nobody answered
+    std::uint64_t indirect_probes = 0;          // probes for which proxies were asked
+    std::uint64_t refutations = 0;              // refutations of our own suspicion or death
+    std::uint64_t stale = 0;                    // frames of an older incarnation than we know
+    std::uint64_t pauses = 0;                   // times that this process was paused
+    std::uint64_t bad = 0;                      // frames that could not be read
+    std::uint64_t duplicate_sender_frames = 0;  // frames of a second process with a peer's name
   };
 
   // `identity` and `process_incarnation` are those of this member's folder; `members` may contain
@@ -100,7 +100,7 @@
   [[nodiscard]] std::uint64_t identity() const { return identity_; }
   // Lifeguard's local health score, 0 (healthy) to 8: our own time limits are (1 + score) times as
   // long.
-  [[nodiscard]] std::size_t doubt() const { return local_health_.score(); }
+  [[nodiscard]] std::size_t local_health_score() const { return local_health_.score(); }
   // Others remember a later process incarnation of ours than our folder does: it is an old copy, or
   // was lost.
   [[nodiscard]] bool folder_is_stale() const { return folder_is_stale_; }
--- a/src/peers/frame.cpp
+++ b/src/peers/frame.cpp
@@ -45,7 +45,8 @@
             std::string_view self, Frame& frame) {
   const std::size_t mac_bytes = signing::MacBytes(kAlgorithm);
   Reader length(bytes);
-  if (bytes.size() > kMostFrame || length.U32() != bytes.size() || bytes.size() < 4 + mac_bytes) {
+  if (bytes.size() > kMaxFrameBytes || length.U32() != bytes.size() ||
+      bytes.size() < 4 + mac_bytes) {
     return Drop::kShort;
   }
   const std::string_view signed_part = bytes.substr(0, bytes.size() - mac_bytes);
--- a/src/peers/frame.hpp
+++ b/src/peers/frame.hpp
@@ -17,23 +17,23 @@
 
 inline constexpr std::uint8_t kFrameVersion = 1;
 // In bytes; a UDP datagram over IPv4 holds 65507.
-inline constexpr std::size_t kMostFrame = std::size_t{60} * 1024;
+inline constexpr std::size_t kMaxFrameBytes = std::size_t{60} * 1024;
 
 // What a frame's body is. The values are those on the wire.
 enum class Kind : std::uint8_t {
   kPing = 1,  // the failure detector's, as are the next two (swim_messages.hpp)
   kAck,
   kPingReq,
-  kSettled,  // a Raft message between voters
-  kFound,    // a message of the Raft cluster's bootstrap
-  kAsk,      // a command for the leader
-  kReply,    // what became of it
-  kNews,     // a request for the replicated state, or its answer
-  kWant,     // a lease request for the grantor of limits
-  kGrant,    // its answer
-  kWords,    // health reports on endpoints from a member's own calls
+  kRaftMessage,      // a Raft message between voters
+  kBootstrap,        // a message of the Raft cluster's bootstrap
+  kCommand,          // a command for the leader
+  kCommandReply,     // what became of it
+  kReplicatedState,  // a request for the replicated state, or its answer
+  kLeaseRequest,     // a lease request for the grantor of limits
+  kLeaseGrant,       // its answer
+  kHealthReports,    // health reports on endpoints from a member's own calls
 };
-inline constexpr std::uint8_t kLastKind = static_cast<std::uint8_t>(Kind::kWords);
+inline constexpr std::uint8_t kLastKind = static_cast<std::uint8_t>(Kind::kHealthReports);
 
 struct Frame {
   Kind kind = Kind::kPing;
--- a/src/quota/lease_holder.cpp
+++ b/src/quota/lease_holder.cpp
@@ -136,7 +136,7 @@
   share.reported_at = now;
 }
 
-std::optional<LeaseRequestBatch> LeaseHolder::Ask(Time now) {
+std::optional<LeaseRequestBatch> LeaseHolder::NextRequest(Time now) {
   if (now < next_request_at_) return std::nullopt;
   next_request_at_ = now + settings_.Renew();
   if (shares_.empty()) return std::nullopt;
@@ -172,7 +172,7 @@
 }
 
 // The answer to an older request knows nothing of what a later one promised to keep.
-void LeaseHolder::Take(const LeaseGrant& grant, Time now) {
+void LeaseHolder::ApplyGrant(const LeaseGrant& grant, Time now) {
   if (grant.number != last_request_number_) return;
   last_answered_ = grant.number;
   for (const auto& [key, part] : grant.parts) {
--- a/src/quota/lease_holder.hpp
+++ b/src/quota/lease_holder.hpp
@@ -32,10 +32,10 @@
   void OnLimitReported(const std::string& key, double limit, Time now);
 
   // The next request to the grantor, if one is due.
-  std::optional<LeaseRequestBatch> Ask(Time now);
+  std::optional<LeaseRequestBatch> NextRequest(Time now);
   [[nodiscard]] Time Next() const { return next_request_at_; }
   // Applies the answer to the last request; an answer to any other is ignored.
-  void Take(const LeaseGrant& grant, Time now);
+  void ApplyGrant(const LeaseGrant& grant, Time now);
   // The roster has other members, or the operator file other limits.
   void Change(LeaseSettings settings, Time now);
 
--- a/src/quota/lease_settings.hpp
+++ b/src/quota/lease_settings.hpp
@@ -64,12 +64,12 @@
 
   // Upper bound of the calls above limit x window, in any window, while the limit is unchanged:
   // with links connected or cut, members suspended, ended or resumed.
-  [[nodiscard]] double MostAtOnce(double limit) const {
+  [[nodiscard]] double MaxExcessCalls(double limit) const {
     return static_cast<double>(members) + limit * SecondsOf(burst);
   }
   // How long after a limit was lowered calls may start at the old rate, at most: until every lease
   // granted under the old limit has expired. `unheard`: until a granting member learns of it.
-  [[nodiscard]] Time LoweredFor(Time unheard) const { return unheard + Stretched(term); }
+  [[nodiscard]] Time MaxTimeAtOldRate(Time unheard) const { return unheard + Stretched(term); }
 };
 
 // The key of a limit, as frames and reports write it: of a destination, or of an endpoint with a
--- a/src/verdicts/health_report.cpp
+++ b/src/verdicts/health_report.cpp
@@ -32,7 +32,9 @@
   out.U16(reports.size());
   for (const HealthReport& report : reports) {
     out.Name(report.endpoint).U64(report.number).U8(static_cast<std::uint64_t>(report.seen));
-    out.U32(ToMilliseconds(now - report.at)).U32(ToMilliseconds(report.rest)).U32(report.times);
+    out.U32(ToMilliseconds(now - report.at))
+        .U32(ToMilliseconds(report.wait_duration))
+        .U32(report.times);
   }
   return out.Take();
 }
@@ -49,7 +51,7 @@
     report.number = in.U64();
     const std::uint8_t seen = in.U8();
     report.at = now - milliseconds(in.U32());
-    report.rest = std::min<Time>(milliseconds(in.U32()), kMaxWaitDuration);
+    report.wait_duration = std::min<Time>(milliseconds(in.U32()), kMaxWaitDuration);
     report.times = in.U32();
     if (!IsKnownState(seen)) return std::nullopt;
     report.seen = static_cast<ObservedState>(seen);
--- a/src/verdicts/health_report.hpp
+++ b/src/verdicts/health_report.hpp
@@ -27,7 +27,7 @@
   std::uint64_t number = 0;
   ObservedState seen = ObservedState::kFine;
   Time at{};                // when it was observed; frames carry the age
-  Time rest{};              // duration of a Retry-After, from `at` on
+  Time wait_duration{};     // duration of a Retry-After, from `at` on
   std::uint32_t times = 1;  // consecutive calls that showed it
 };
 
--- a/src/verdicts/health_report_table.cpp
+++ b/src/verdicts/health_report_table.cpp
@@ -35,14 +35,14 @@
 // ======== our own calls ========
 
 void HealthReportTable::RecordOwnReport(const std::string& endpoint, OwnEvidence& own,
-                                        ObservedState seen, Time rest, Time now) {
+                                        ObservedState seen, Time wait_duration, Time now) {
   own.reported_at = now;
   own.current_report = HealthReport{endpoint,
                                     self_,
                                     ++number_,
                                     seen,
                                     now,
-                                    std::min(rest, kMaxWaitDuration),
+                                    std::min(wait_duration, kMaxWaitDuration),
                                     std::max<std::uint32_t>(1, own.failures)};
   reports_[{endpoint, self_}] = *own.current_report;
   frames_to_send_ = kSendsPerMember * present_members_.size();
@@ -86,12 +86,12 @@
   }
 }
 
-void HealthReportTable::ToldWait(const std::string& endpoint, Time rest, Time now) {
+void HealthReportTable::OnRetryAfter(const std::string& endpoint, Time wait_duration, Time now) {
   OwnEvidence& own = own_evidence_[endpoint];
-  const bool known =
-      own.current_report && own.current_report->seen == ObservedState::kWait &&
-      own.current_report->at + own.current_report->rest + kWaitTolerance >= now + rest;
-  if (!known) RecordOwnReport(endpoint, own, ObservedState::kWait, rest, now);
+  const bool known = own.current_report && own.current_report->seen == ObservedState::kWait &&
+                     own.current_report->at + own.current_report->wait_duration + kWaitTolerance >=
+                         now + wait_duration;
+  if (!known) RecordOwnReport(endpoint, own, ObservedState::kWait, wait_duration, now);
 }
 
 // ======== other members' reports ========
@@ -99,15 +99,15 @@
 // Each wrong report is one strike; the count starts anew after a period of distrust.
 void HealthReportTable::AddStrike(const std::string& witness, Time now) {
   Witness& suspect = witnesses_[witness];
-  if (now < suspect.shunned_until) return;
+  if (now < suspect.distrusted_until) return;
   if (++suspect.strikes < kMaxStrikes) return;
   suspect.strikes = 0;
-  suspect.shunned_until = now + kDistrustDuration;
+  suspect.distrusted_until = now + kDistrustDuration;
 }
 
 bool HealthReportTable::Counts(const std::string& witness, Time now) const {
   const auto it = witnesses_.find(witness);
-  return it == witnesses_.end() || now >= it->second.shunned_until;
+  return it == witnesses_.end() || now >= it->second.distrusted_until;
 }
 
 std::size_t HealthReportTable::WitnessesOf(const std::string& endpoint, ObservedState seen,
@@ -121,27 +121,27 @@
   return count;
 }
 
-HealthReportTable::Saying HealthReportTable::Say(Time now) {
-  Saying saying;
-  if (frames_to_send_ == 0 || now < next_round_at_ || present_members_.empty()) return saying;
+HealthReportTable::OutgoingReports HealthReportTable::TakeOutgoingReports(Time now) {
+  OutgoingReports outgoing;
+  if (frames_to_send_ == 0 || now < next_round_at_ || present_members_.empty()) return outgoing;
   next_round_at_ = now + settings_.round_interval;
   std::vector<HealthReport> own_reports;
   for (const auto& [key, report] : reports_) {
     if (own_reports.size() >= kMaxReportsPerFrame) break;
     if (key.witness == self_) own_reports.push_back(report);
   }
-  saying.bytes = EncodeReports(own_reports, now);
+  outgoing.bytes = EncodeReports(own_reports, now);
   const std::size_t frames =
       std::min({kMaxFramesPerRound, frames_to_send_, present_members_.size()});
   for (std::size_t i = 0; i < frames; ++i) {
     const std::string& to = present_members_[next_recipient_++ % present_members_.size()];
-    if (to != self_) saying.to.push_back(to);
+    if (to != self_) outgoing.to.push_back(to);
   }
   frames_to_send_ -= frames;
-  return saying;
+  return outgoing;
 }
 
-void HealthReportTable::Take(const std::string& from, std::string_view bytes, Time now) {
+void HealthReportTable::Receive(const std::string& from, std::string_view bytes, Time now) {
   const auto received = DecodeReports(from, bytes, now);
   if (!received || from == self_) {
     ++rejected_frames_;
@@ -189,8 +189,8 @@
       break;
     case ObservedState::kWait:
       advice.what = HealthAdvice::What::kWait;
-      advice.rest = std::max(Time{}, report.rest - advice.age);
-      if (advice.rest == Time{}) return;
+      advice.duration = std::max(Time{}, report.wait_duration - advice.age);
+      if (advice.duration == Time{}) return;
       break;
     case ObservedState::kCold:
       advice.what = HealthAdvice::What::kCold;
@@ -232,7 +232,7 @@
 void HealthReportTable::DropExpired(Time now) {
   std::erase_if(reports_, [&](const auto& entry) {
     // A wait lasts as long as its Retry-After, even beyond the retention.
-    return now - entry.second.at > std::max(settings_.kept, entry.second.rest);
+    return now - entry.second.at > std::max(settings_.kept, entry.second.wait_duration);
   });
   std::erase_if(down_claims_,
                 [&](const auto& entry) { return now - entry.second.report.at > settings_.kept; });
@@ -268,7 +268,8 @@
     if (own.recovery_since == Time{}) own.recovery_since = now;
     const bool waited_enough = now - own.recovery_since > kMaxRecoveryTestWait;
     if (waited_enough || RecoveryTester(endpoint, now) == self_) continue;
-    advice_.push_back({endpoint, HealthAdvice::What::kTried, Time{}, kRecoveryTestTurn / 2, 1});
+    advice_.push_back(
+        {endpoint, HealthAdvice::What::kTestedByOther, Time{}, kRecoveryTestTurn / 2, 1});
   }
 }
 
--- a/src/verdicts/health_report_table.hpp
+++ b/src/verdicts/health_report_table.hpp
@@ -54,11 +54,11 @@
 
 // Advice for the decision module.
 struct HealthAdvice {
-  enum class What { kDown, kWait, kCold, kServes, kTried };
+  enum class What { kDown, kWait, kCold, kServes, kTestedByOther };
   std::string endpoint;
   What what = What::kDown;
   Time age{};
-  Time rest{};                // how long it holds, with kWait and kTried
+  Time duration{};            // how long it holds, with kWait and kTestedByOther
   std::size_t witnesses = 0;  // other members behind it that are not distrusted
 };
 
@@ -72,19 +72,19 @@
   // ---- our own calls ----
   void Answered(const std::string& endpoint, Time sent, Time now);  // delivered
   void Failed(const std::string& endpoint, Time now);
-  void ToldWait(const std::string& endpoint, Time rest, Time now);
+  void OnRetryAfter(const std::string& endpoint, Time wait_duration, Time now);
 
   // ---- others ----
   // One frame with this member's own reports and its recipients in this round; no recipients: all
   // have been sent twice, or the round is not due.
-  struct Saying {
+  struct OutgoingReports {
     std::string bytes;
     std::vector<std::string> to;
   };
-  Saying Say(Time now);
+  OutgoingReports TakeOutgoingReports(Time now);
   [[nodiscard]] Time Next() const { return frames_to_send_ > 0 ? next_round_at_ : Time::max(); }
   // A frame from another member. An invalid one changes nothing but the count of rejected frames.
-  void Take(const std::string& from, std::string_view bytes, Time now);
+  void Receive(const std::string& from, std::string_view bytes, Time now);
   // The members that are alive, this one included: they take turns at recovery tests.
   void SetPresent(std::vector<std::string> present) { present_members_ = std::move(present); }
 
@@ -94,15 +94,15 @@
 
   struct Witness {
     std::uint32_t strikes = 0;
-    Time shunned_until{};
+    Time distrusted_until{};
   };
-  [[nodiscard]] const std::map<ReportKey, HealthReport>& words() const { return reports_; }
+  [[nodiscard]] const std::map<ReportKey, HealthReport>& reports() const { return reports_; }
   [[nodiscard]] const std::map<std::string, Witness>& witnesses() const { return witnesses_; }
   [[nodiscard]] bool Counts(const std::string& witness, Time now) const;
   // Other members that report this state of the endpoint and are not distrusted.
   [[nodiscard]] std::size_t WitnessesOf(const std::string& endpoint, ObservedState seen,
                                         Time now) const;
-  [[nodiscard]] std::uint64_t refused() const { return rejected_frames_; }
+  [[nodiscard]] std::uint64_t rejected_frames() const { return rejected_frames_; }
 
  private:
   struct OwnEvidence {
@@ -113,8 +113,8 @@
     Time recovery_since{};  // nobody has reported yet what came of a trial
   };
 
-  void RecordOwnReport(const std::string& endpoint, OwnEvidence& own, ObservedState seen, Time rest,
-                       Time now);
+  void RecordOwnReport(const std::string& endpoint, OwnEvidence& own, ObservedState seen,
+                       Time wait_duration, Time now);
   void DropExpired(Time now);
   [[nodiscard]] std::set<std::string> DownEndpoints(Time now) const;
   // Advice on down reports that a recent answer of our own held back.
--- a/tests/fleet/maintenance_test.cpp
+++ b/tests/fleet/maintenance_test.cpp
@@ -50,7 +50,7 @@
   RequestResult Ask(const std::string& name, Urgency urgency = Urgency::kNormal,
                     Kind kind = Kind::kMachine) {
     Command c;
-    c.verb = Verb::kAsk;
+    c.verb = Verb::kRequest;
     c.kind = kind;
     c.name = name;
     c.urgency = urgency;
@@ -69,8 +69,8 @@
         ComputeDuty(machine, name, seen[name].process_incarnation,
                     {stands_by[name], stands_by[name], !stands_by[name], banned[name]});
     stands_by[name] = duty.stand_by;
-    banned[name] = duty.ban;
-    for (const Command& c : duty.say) machine.Apply(c.Encode());
+    banned[name] = duty.excluded_endpoints;
+    for (const Command& c : duty.commands) machine.Apply(c.Encode());
   }
   void Round() {
     for (const auto& [name, s] : seen) {
@@ -119,20 +119,20 @@
   f.Lead();
   f.Ask("all");
   f.Lead();
-  CHECK(f.machine.UsedInAll() == 2);
+  CHECK(f.machine.SlotsInUse() == 2);
   CHECK(f.order.size() == 1);
   // The holder dies while it drains: its place stays its own.
   f.seen[f.order[0]].state = peers::State::kDead;
   f.seen["m4"].state = peers::State::kAlive;
   f.Lead();
-  CHECK(f.machine.UsedInAll() == 2);
+  CHECK(f.machine.SlotsInUse() == 2);
   CHECK(f.order.size() == 2);
   f.now += seconds(61);
   f.Lead();
   f.now += seconds(61);
   f.Lead();
   CHECK(f.Of(f.order[0]).state == State::kFailed);
-  CHECK(f.machine.UsedInAll() == 2);
+  CHECK(f.machine.SlotsInUse() == 2);
   CHECK(f.order.size() == 2);
 }
 
@@ -147,7 +147,7 @@
   grant.request = f.Of("m1").id;  // by a leader that did not know
   f.machine.Apply(grant.Encode());
   CHECK(f.Of("m1").state == State::kRequested);
-  CHECK(f.machine.UsedInAll() == 1);
+  CHECK(f.machine.SlotsInUse() == 1);
 }
 
 TEST_CASE("grants alternate between zones, urgency goes first, and no request starves") {
@@ -226,7 +226,7 @@
   CHECK(f.Ask("m0").good);
   CHECK(f.Ask("m0").text.find("already asked") != std::string::npos);
   Command c;
-  c.verb = Verb::kAsk;
+  c.verb = Verb::kRequest;
   c.name = "m1";
   c.token = 99;
   f.machine.Apply(c.Encode());
@@ -239,7 +239,7 @@
   cancel.request = id;
   CHECK_FALSE(f.Do(cancel).good);
   Command hold;
-  hold.verb = Verb::kHold;
+  hold.verb = Verb::kPauseGrants;
   hold.flag = true;
   CHECK(f.Do(hold).good);
   f.Lead();
@@ -299,10 +299,11 @@
   Fleet f(RosterOf(count, places, places));
   REQUIRE(f.Ask("all").good);
   std::size_t rounds = 0, out_most = 0;
-  for (; rounds < 4 * count && f.machine.over().size() + f.machine.requests().size() > 0;
+  for (;
+       rounds < 4 * count && f.machine.finished_requests().size() + f.machine.requests().size() > 0;
        ++rounds) {
     f.Round();
-    out_most = std::max(out_most, f.machine.UsedInAll());
+    out_most = std::max(out_most, f.machine.SlotsInUse());
     most_bytes = std::max(most_bytes, f.machine.Save().size());
     std::vector<std::string> out;
     for (const auto& [id, r] : f.machine.requests()) {
@@ -321,7 +322,7 @@
   const std::size_t rounds = RollAll(300, 30, bytes);
   MESSAGE("300 members: " << rounds << " rounds, settled state " << bytes << " B at most");
   CHECK(rounds <= 300 / 30 * 4 + 4);
-  CHECK(bytes <= peers::kMostFrame / 2);
+  CHECK(bytes <= peers::kMaxFrameBytes / 2);
 }
 
 }  // namespace
--- a/tests/fleet/peers_test.cpp
+++ b/tests/fleet/peers_test.cpp
@@ -19,14 +19,14 @@
 constexpr const char* kSecret = "0123456789abcdef";
 
 Frame MakeFrame() {
-  return {Kind::kSettled, "n0", "n1", 77, FirstIncarnation(3) + 1, std::string("\0body", 5)};
+  return {Kind::kRaftMessage, "n0", "n1", 77, FirstIncarnation(3) + 1, std::string("\0body", 5)};
 }
 
 TEST_CASE("a frame decodes as it was sent, and is rejected if altered or meant for another") {
   const std::string bytes = Encode(MakeFrame(), "tacoma", kSecret);
   Frame frame;
   CHECK(Decode(bytes, "tacoma", kSecret, "n1", frame) == Drop::kNone);
-  CHECK(frame.kind == Kind::kSettled);
+  CHECK(frame.kind == Kind::kRaftMessage);
   CHECK(frame.body == MakeFrame().body);
   CHECK(frame.incarnation == MakeFrame().incarnation);
   CHECK(Decode(bytes, "bengal", kSecret, "n1", frame) == Drop::kFleet);
--- a/tests/fleet/quota_test.cpp
+++ b/tests/fleet/quota_test.cpp
@@ -120,7 +120,7 @@
     if (f.grant) {
       const auto grant = LeaseGrant::Decode(f.body);
       REQUIRE(grant);
-      return to.holder.Take(*grant, ClockOf(f.to));
+      return to.holder.ApplyGrant(*grant, ClockOf(f.to));
     }
     if (!to.leads || now > to.leads_until) return;
     const auto request = LeaseRequestBatch::Decode(f.body);
@@ -144,7 +144,7 @@
       begun.push_back(now);
       if (reported > 0) m.holder.OnLimitReported("d1", reported, clock);
     }
-    const auto request = m.holder.Ask(clock);
+    const auto request = m.holder.NextRequest(clock);
     if (!request) return;
     // Whoever still believes in the old leader asks it, half of them.
     std::size_t leader = leader_;
@@ -153,7 +153,7 @@
     }
     if (leader != i) return Send(i, leader, false, request->Encode());
     if (const auto grant = m.grantor.Answer(std::to_string(i), *request, clock)) {
-      m.holder.Take(*grant, clock);
+      m.holder.ApplyGrant(*grant, clock);
     }
   }
 
@@ -171,7 +171,7 @@
   w.RunFor(seconds(10));
   const double used = static_cast<double>(w.begun.size() - before) / 10;
   CHECK(used > 0.85 * 10);  // the others have lent their floors
-  CHECK(w.MostOver(seconds(1), 10) <= w.terms.MostAtOnce(10));
+  CHECK(w.MostOver(seconds(1), 10) <= w.terms.MaxExcessCalls(10));
 }
 
 TEST_CASE("shares follow the traffic, and their sum never exceeds the limit") {
@@ -183,7 +183,7 @@
     REQUIRE(w.grantor().Outstanding("d1", w.ClockOf(0)) <= 10);
   }
   for (const Time window : {milliseconds(200), milliseconds(1000), milliseconds(5000)}) {
-    CHECK(w.MostOver(window, 10) <= w.terms.MostAtOnce(10));
+    CHECK(w.MostOver(window, 10) <= w.terms.MaxExcessCalls(10));
   }
 }
 
@@ -217,7 +217,7 @@
   const double limit = w.terms.listed.at("d1");
   const double per_member =
       static_cast<double>(w.bytes) / SecondsOf(w.now - seconds(5)) / static_cast<double>(members);
-  return {w.MostOver(seconds(1), limit) / w.terms.MostAtOnce(limit), per_member};
+  return {w.MostOver(seconds(1), limit) / w.terms.MaxExcessCalls(limit), per_member};
 }
 
 TEST_CASE("the bound holds with links cut, members suspended and former leaders") {
@@ -280,8 +280,9 @@
   w.reported = 4;
   const Time fell = w.now;
   w.RunFor(seconds(15));
-  const Time kept = fell + w.terms.LoweredFor(w.terms.Renew() + w.terms.Stretched(w.terms.term));
-  CHECK(w.MostOver(seconds(1), 4, kept) <= w.terms.MostAtOnce(4));
+  const Time kept =
+      fell + w.terms.MaxTimeAtOldRate(w.terms.Renew() + w.terms.Stretched(w.terms.term));
+  CHECK(w.MostOver(seconds(1), 4, kept) <= w.terms.MaxExcessCalls(4));
 }
 
 TEST_CASE("one wrong report, of nothing or of a million, does not move the limit") {
--- a/tests/fleet/raft_node_test.cpp
+++ b/tests/fleet/raft_node_test.cpp
@@ -99,7 +99,7 @@
       for (MessageInFlight& f : due) {
         Voter& to = voters_[f.message.to];
         if (to.raft_node == nullptr || to.stopped) continue;
-        to.raft_node->Receive(f.from, f.id, f.message.founding, f.message.body, now);
+        to.raft_node->Receive(f.from, f.id, f.message.is_bootstrap, f.message.body, now);
         Collect(f.message.to);
       }
       for (const std::string& name : names_) {
@@ -142,7 +142,7 @@
       if (leader.empty()) return false;
       const auto outcome = Propose(leader, command);
       for (int k = 0; k < 40 && !outcome->has_value(); ++k) RunFor(milliseconds(50));
-      if (*outcome == RaftNode::Outcome::kSettled) return true;
+      if (*outcome == RaftNode::Outcome::kApplied) return true;
     }
     return false;
   }
@@ -251,7 +251,7 @@
   cluster.at(old).stopped = false;
   const auto late = cluster.Propose(old, "late");
   cluster.RunFor(seconds(5));
-  CHECK(*late != RaftNode::Outcome::kSettled);
+  CHECK(*late != RaftNode::Outcome::kApplied);
   cluster.CheckSameOrder();
   CHECK(cluster.at(old).list.all == std::vector<std::string>{"one", "two"});
 }
@@ -369,7 +369,7 @@
     for (const auto& [command, outcome] : asked) {
       const auto times = std::count(all.begin(), all.end(), command);
       CHECK(times <= 1);
-      if (*outcome == RaftNode::Outcome::kSettled) CHECK(times == 1);
+      if (*outcome == RaftNode::Outcome::kApplied) CHECK(times == 1);
     }
   }
 }
--- a/tests/fleet/sharing_test.cpp
+++ b/tests/fleet/sharing_test.cpp
@@ -28,7 +28,7 @@
 
 peers::Frame LeaseRequestFrame(const char* from, std::uint64_t number) {
   peers::Frame frame;
-  frame.kind = peers::Kind::kWant;
+  frame.kind = peers::Kind::kLeaseRequest;
   frame.from = from;
   frame.body = quota::LeaseRequestBatch{number, 0, {{"d1", {20, 0, 0, 0}}}}.Encode();
   return frame;
@@ -40,7 +40,7 @@
   sharing.TakeFrames();
   sharing.Receive(LeaseRequestFrame(from, number), now);
   for (const OutgoingFrame& frame : sharing.TakeFrames()) {
-    if (frame.kind == peers::Kind::kGrant && frame.to == from)
+    if (frame.kind == peers::Kind::kLeaseGrant && frame.to == from)
       return quota::LeaseGrant::Decode(frame.body);
   }
   return std::nullopt;
@@ -81,12 +81,12 @@
   sharing.Update("a", {"a", "b", "c"}, seconds(10));
   std::uint64_t number = 0;
   for (const OutgoingFrame& frame : sharing.TakeFrames()) {
-    if (frame.kind == peers::Kind::kWant)
+    if (frame.kind == peers::Kind::kLeaseRequest)
       number = quota::LeaseRequestBatch::Decode(frame.body)->number;
   }
   REQUIRE(number > 0);
   peers::Frame frame;
-  frame.kind = peers::Kind::kGrant;
+  frame.kind = peers::Kind::kLeaseGrant;
   frame.body = quota::LeaseGrant{number, true, {{"d1", {1e6, 1e6}}}}.Encode();
   frame.from = "c";
   sharing.Receive(frame, seconds(10));
--- a/tests/fleet/verdicts_test.cpp
+++ b/tests/fleet/verdicts_test.cpp
@@ -19,7 +19,7 @@
   }
   std::string Down(Time at, const char* endpoint = "e0") {
     for (int i = 0; i < 3; ++i) table.Failed(endpoint, at);
-    return table.Say(at).bytes;
+    return table.TakeOutgoingReports(at).bytes;
   }
   std::size_t Advised(What what) {
     std::size_t most = 0;
@@ -37,35 +37,35 @@
   a.table.Failed("e0", seconds(1));
   a.table.Answered("e0", seconds(1), seconds(1));
   a.table.Failed("e0", seconds(1));
-  CHECK(a.table.Say(seconds(1)).bytes.empty());
+  CHECK(a.table.TakeOutgoingReports(seconds(1)).bytes.empty());
   const std::string from_a = a.Down(seconds(2)), from_b = b.Down(seconds(2));
-  c.table.Take("a", from_a, seconds(2));
+  c.table.Receive("a", from_a, seconds(2));
   CHECK(c.Advised(What::kDown) == 1);
-  c.table.Take("a", from_a, seconds(2));
+  c.table.Receive("a", from_a, seconds(2));
   CHECK(c.Advised(What::kDown) == 0);  // the same again
-  c.table.Take("b", from_b, seconds(2));
+  c.table.Receive("b", from_b, seconds(2));
   CHECK(c.Advised(What::kDown) == 2);
 }
 
 TEST_CASE("neither order nor duplicates matter, and an earlier incarnation is superseded") {
   Member old("a", 1), young("a", 2), c("c"), d("d");
   const std::string first = old.Down(seconds(1));
-  young.table.ToldWait("e0", seconds(5), seconds(2));
-  const std::string second = young.table.Say(seconds(2)).bytes;
-  for (const std::string& s : {first, second, first}) c.table.Take("a", s, seconds(2));
-  for (const std::string& s : {second, first, second}) d.table.Take("a", s, seconds(2));
-  CHECK(c.table.words().at({"e0", "a"}).seen == ObservedState::kWait);
-  CHECK(d.table.words().at({"e0", "a"}).seen == ObservedState::kWait);
+  young.table.OnRetryAfter("e0", seconds(5), seconds(2));
+  const std::string second = young.table.TakeOutgoingReports(seconds(2)).bytes;
+  for (const std::string& s : {first, second, first}) c.table.Receive("a", s, seconds(2));
+  for (const std::string& s : {second, first, second}) d.table.Receive("a", s, seconds(2));
+  CHECK(c.table.reports().at({"e0", "a"}).seen == ObservedState::kWait);
+  CHECK(d.table.reports().at({"e0", "a"}).seen == ObservedState::kWait);
 }
 
 TEST_CASE("a report ages in transit and is dropped after its retention") {
   Member a("a"), c("c"), late("d");
   const std::string bytes = a.Down(seconds(1));
-  c.table.Take("a", bytes, seconds(3));
+  c.table.Receive("a", bytes, seconds(3));
   c.table.Tick(seconds(12));
-  CHECK(c.table.words().size() == 1);
+  CHECK(c.table.reports().size() == 1);
   c.table.Tick(seconds(14));
-  CHECK(c.table.words().empty());
+  CHECK(c.table.reports().empty());
 }
 
 TEST_CASE("a witness is distrusted after three wrong reports, and a correct one is not") {
@@ -73,7 +73,7 @@
   Time now = seconds(10);
   for (int i = 0; i < 6; ++i) {
     Member liar("a", 2 + static_cast<std::uint64_t>(i));
-    c.table.Take("a", liar.Down(now), now);
+    c.table.Receive("a", liar.Down(now), now);
     c.table.Answered("e0", now + milliseconds(50), now + milliseconds(80));
     now += seconds(1);
   }
@@ -82,7 +82,7 @@
   CHECK(c.table.Counts("a", now + kDistrustDuration));
   // An honest one: it was down, and it came back.
   Member d("d"), b("b");
-  d.table.Take("b", b.Down(seconds(10)), seconds(10));
+  d.table.Receive("b", b.Down(seconds(10)), seconds(10));
   for (int i = 0; i < 20; ++i) d.table.Answered("e0", seconds(10 + i), seconds(10 + i));
   CHECK(d.table.Counts("b", seconds(30)));
 }
@@ -95,16 +95,16 @@
   for (std::size_t i = 0; i < 4; ++i) {
     for (std::size_t k = 0; k < 4; ++k) {
       if (i != k)
-        members[i].table.Take(std::string(1, static_cast<char>('a' + k)), words[k], seconds(1));
+        members[i].table.Receive(std::string(1, static_cast<char>('a' + k)), words[k], seconds(1));
     }
   }
   std::size_t waits = 0, late = 0;
   for (Member& m : members) {
     m.table.TakeAdvice();
     m.table.Tick(seconds(1));
-    for (const HealthAdvice& a : m.table.TakeAdvice()) waits += a.what == What::kTried;
+    for (const HealthAdvice& a : m.table.TakeAdvice()) waits += a.what == What::kTestedByOther;
     m.table.Tick(seconds(8));
-    for (const HealthAdvice& a : m.table.TakeAdvice()) late += a.what == What::kTried;
+    for (const HealthAdvice& a : m.table.TakeAdvice()) late += a.what == What::kTestedByOther;
   }
   CHECK(waits == 3);
   CHECK(late == 0);
@@ -114,7 +114,7 @@
   Member a("a"), c("c");
   a.Down(seconds(1));
   a.table.Answered("e0", seconds(2), seconds(2));
-  c.table.Take("a", a.table.Say(seconds(3)).bytes, seconds(3));
+  c.table.Receive("a", a.table.TakeOutgoingReports(seconds(3)).bytes, seconds(3));
   const auto advice = c.table.TakeAdvice();
   REQUIRE(advice.size() == 2);
   CHECK(advice[0].what == What::kCold);
@@ -130,10 +130,10 @@
   std::map<std::string, int> told;
   Time now = seconds(1);
   for (int i = 0; i < 100; ++i, now += milliseconds(100)) {
-    const auto saying = table.Say(now);
-    CHECK(saying.to.size() <= kMaxFramesPerRound);
-    CHECK(saying.bytes.size() < 200);
-    for (const std::string& to : saying.to) ++told[to];
+    const auto outgoing = table.TakeOutgoingReports(now);
+    CHECK(outgoing.to.size() <= kMaxFramesPerRound);
+    CHECK(outgoing.bytes.size() < 200);
+    for (const std::string& to : outgoing.to) ++told[to];
   }
   CHECK(told.size() == 299);
   for (const auto& [name, times] : told) CHECK(times == 2);
@@ -147,10 +147,10 @@
     std::string noise = good;
     noise.resize(random() % (noise.size() + 1));
     if (!noise.empty()) noise[random() % noise.size()] = static_cast<char>(random());
-    c.table.Take("b", noise, seconds(1));
+    c.table.Receive("b", noise, seconds(1));
     c.table.Tick(seconds(1));
   }
-  CHECK(c.table.refused() > 2000);
+  CHECK(c.table.rejected_frames() > 2000);
 }
 
 }  // namespace
