--- a/src/consensus/bootstrap.hpp
+++ b/src/consensus/bootstrap.hpp
@@ -1,8 +1,8 @@
-// How the first configuration of the cluster comes about: every voter without a log announces that,
-// the first voter of the roster waits for all announcements, makes the configuration of their
-// folders, and answers each later announcement of one of these with it.
+// Bootstrap of the Raft cluster: every voter without a log announces that its log is empty. The
+// first voter of the roster waits for all announcements, creates the first configuration from the
+// announced folder ids, and replies with it to each later announcement from one of these folders.
 //
-// No voter that has a log takes part, so there is one first configuration only.
+// A voter that has a log takes no part, so at most one first configuration is ever created.
 #ifndef BRASSFRONT_CONSENSUS_BOOTSTRAP_HPP_
 #define BRASSFRONT_CONSENSUS_BOOTSTRAP_HPP_
 
@@ -18,13 +18,14 @@
 
 namespace brassfront::consensus {
 
-// How often a voter without a log announces it: short beside a start by hand, and a few bytes.
+// Interval at which a voter without a log announces that. It is short compared with starting the
+// members by hand, and an announcement is only a few bytes.
 inline constexpr std::chrono::nanoseconds kEmptyLogInterval = std::chrono::milliseconds(300);
 
 // The sender, a voter of the roster, has no log.
 struct EmptyLogAnnouncement {};
 
-// The configuration that the first voter has made.
+// The configuration that the first voter has created.
 struct FirstConfiguration {
   std::vector<Server> servers;
 };
@@ -32,16 +33,16 @@
 using BootstrapMessage = std::variant<EmptyLogAnnouncement, FirstConfiguration>;
 
 [[nodiscard]] std::string EncodeBootstrapMessage(const BootstrapMessage& message);
-// Nothing if the bytes are no such message.
+// Returns nullopt if the bytes are not a valid bootstrap message.
 [[nodiscard]] std::optional<BootstrapMessage> DecodeBootstrapMessage(std::string_view bytes);
 
-// For the first of `voters`, whose folder is `own_id`: all of them with their folders, or nothing
-// while one of them has not announced an empty log lately.
+// Called by the first of `voters`, whose folder id is `own_id`. Returns all voters with their
+// folder ids, or nullopt while any of them has no unexpired announcement of an empty log.
 [[nodiscard]] std::optional<std::vector<Server>> MakeFirstConfiguration(
     const std::vector<std::string>& voters, std::uint64_t own_id, const EmptyLogs& empty_logs,
     std::chrono::nanoseconds now);
 
-// One of the servers has this folder and this name.
+// Whether one of the servers has both this folder id and this name.
 [[nodiscard]] bool ContainsServer(const std::vector<Server>& servers, std::uint64_t id,
                                   std::string_view name);
 
--- a/src/consensus/empty_logs.cpp
+++ b/src/consensus/empty_logs.cpp
@@ -3,10 +3,10 @@
 namespace brassfront::consensus {
 namespace {
 
-// An announcement counts for ten of its intervals (bootstrap.hpp: 300 ms), so that loss on a link
-// does not hide an empty log.
+// An announcement is valid for ten announcement intervals (300 ms each, bootstrap.hpp), so that
+// packet loss on a link does not hide an empty log.
 constexpr EmptyLogs::Time kAnnouncementLifetime = std::chrono::seconds(3);
-// Announcements in a row after which the voter's former folder loses its place.
+// Consecutive announcements after which the voter's former folder counts as replaced.
 constexpr std::size_t kRepeatsBeforeReplacement = 3;
 
 }  // namespace
--- a/src/consensus/file_store.cpp
+++ b/src/consensus/file_store.cpp
@@ -18,7 +18,7 @@
 
 constexpr int kOwnerOnly = 0600;
 
-// Empty if there is no such file.
+// Returns an empty string if the file does not exist.
 std::string ReadFile(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   return {std::istreambuf_iterator<char>(in), {}};
@@ -69,8 +69,8 @@
   if (bytes.empty()) return true;
   std::optional<Snapshot> snapshot = DecodeSnapshot(bytes);
   if (!snapshot) return false;
-  // The process may have ended after the snapshot and before the log was compacted: a log that
-  // neither contains the snapshot's last entry nor begins after it is older.
+  // The process may have ended after it wrote the snapshot and before it compacted the log. A log
+  // that neither contains the snapshot's last entry nor begins right after it is outdated.
   const std::uint64_t index = snapshot->index;
   const bool contained = index >= persistent_.first && index <= persistent_.last() &&
                          persistent_.entries[index - persistent_.first].term == snapshot->term;
@@ -104,7 +104,7 @@
     log_bytes_ += records.size();
     return true;
   }
-  // A part of a record must not stand before the next one.
+  // Removes the partial record, so that the next record does not follow it.
   failed_ = !CutLog(log_bytes_);
   return false;
 }
@@ -146,7 +146,7 @@
   if (!peers::WriteAtomically(SnapshotPath(), snapshot_bytes)) return false;
   snapshot_bytes_ = snapshot_bytes.size();
   if (!peers::WriteAtomically(LogPath(), log) || !OpenLog()) {
-    failed_ = true;  // the snapshot is new and the log may be old
+    failed_ = true;  // the snapshot was replaced, but the log may still be the old one
     return false;
   }
   persistent_ = std::move(next);
--- a/src/consensus/file_store.hpp
+++ b/src/consensus/file_store.hpp
@@ -1,9 +1,10 @@
-// A Store in a folder: `settled` is appended to and synchronized before each call returns,
-// `settled.snapshot` is written beside and renamed. log_records.hpp has their formats.
+// A Store in a folder. Records are appended to the file `settled` and synchronized to disk before
+// each call returns; `settled.snapshot` is replaced by writing a temporary file and renaming it.
+// log_records.hpp describes both formats.
 //
-// A record that the file is too short for was being written when the process or the machine ended,
-// and no caller was told that it had succeeded: it is cut off. Anything else that fails its check
-// is damage: a flipped bit may have been a vote, so nothing of such a log is used.
+// An incomplete record at the end of the log was being written when the process or the machine
+// ended. No caller was told that it was stored, so it is cut off. Any other record that fails its
+// check is damage. A flipped bit may have changed a vote, so nothing of a damaged log is used.
 #ifndef BRASSFRONT_CONSENSUS_FILE_STORE_HPP_
 #define BRASSFRONT_CONSENSUS_FILE_STORE_HPP_
 
@@ -18,8 +19,8 @@
 
 class FileStore : public Store {
  public:
-  // Throws std::runtime_error where the folder cannot be written. `max_bytes` bounds the log and
-  // the snapshot together; what does not fit fails as on a full disk.
+  // Throws std::runtime_error if the folder cannot be written. `max_bytes` bounds the total size of
+  // the log and the snapshot; a write that would exceed it fails as on a full disk.
   explicit FileStore(std::string folder, std::size_t max_bytes = 4 << 20);
 
   PersistentState Load(bool& damaged) override;
@@ -34,8 +35,8 @@
   [[nodiscard]] bool OpenLog();
   [[nodiscard]] bool WriteRecords(std::string_view records);
   [[nodiscard]] bool CutLog(std::size_t bytes);
-  [[nodiscard]] bool LoadLog();       // false: damaged
-  [[nodiscard]] bool LoadSnapshot();  // false: damaged
+  [[nodiscard]] bool LoadLog();       // returns false if the log is damaged
+  [[nodiscard]] bool LoadSnapshot();  // returns false if the snapshot is damaged
   [[nodiscard]] std::string LogPath() const { return folder_ + "/settled"; }
   [[nodiscard]] std::string SnapshotPath() const { return folder_ + "/settled.snapshot"; }
 
@@ -44,7 +45,7 @@
   peers::FileDescriptor log_;
   std::size_t log_bytes_ = 0, snapshot_bytes_ = 0;
   bool failed_ = false;         // what the log file holds is not known: nothing more is written
-  PersistentState persistent_;  // what the files amount to
+  PersistentState persistent_;  // the state that the two files contain
 };
 
 }  // namespace brassfront::consensus
--- a/src/consensus/libraft.hpp
+++ b/src/consensus/libraft.hpp
@@ -1,5 +1,5 @@
-// Canonical's C-Raft, a C library whose header has no `extern "C"` of its own. For sources of this
-// folder only: no public header includes it.
+// Includes the header of Canonical's C-Raft, a C library whose header lacks `extern "C"`, and
+// converts its buffers. Only for use inside src/consensus.
 #ifndef BRASSFRONT_CONSENSUS_LIBRAFT_HPP_
 #define BRASSFRONT_CONSENSUS_LIBRAFT_HPP_
 
@@ -11,10 +11,10 @@
 
 namespace brassfront::consensus {
 
-// A copy of the bytes in memory that libraft may free. Throws std::bad_alloc.
+// Copies the bytes into memory that libraft may free. Throws std::bad_alloc.
 [[nodiscard]] raft_buffer AllocateBuffer(std::string_view bytes);
 
-// The bytes of a buffer, which keeps owning them.
+// A view of the buffer's bytes; the buffer keeps owning them.
 [[nodiscard]] std::string_view ViewBytes(const raft_buffer& buffer);
 
 }  // namespace brassfront::consensus
--- a/src/consensus/log_records.cpp
+++ b/src/consensus/log_records.cpp
@@ -14,12 +14,12 @@
 
 enum class Tag : std::uint8_t { kBase = 1, kTerm, kVote, kEntry, kTruncate };
 
-constexpr std::size_t kHeaderBytes = 16;  // length and its check, u32 each; the payload's hash, u64
+constexpr std::size_t kHeaderBytes = 16;  // length u32, hash of the length u32, payload hash u64
 constexpr std::size_t kHashBytes = 8;
-// An entry has 512 bytes at most, and a change of the configuration a few hundred: a longer record
-// was never written.
+// Upper bound of a valid record: an entry has at most 512 bytes and a configuration change a few
+// hundred, so a longer record was never written.
 constexpr std::size_t kMaxRecordBytes = 1 << 20;
-// Different seeds, so that no record passes for a length or a snapshot.
+// The seeds differ, so that a record cannot pass as a length or a snapshot.
 constexpr XXH64_hash_t kPayloadSeed = 0;
 constexpr XXH64_hash_t kSnapshotSeed = 1;
 constexpr XXH64_hash_t kLengthSeed = 0x6C656E67;
@@ -28,7 +28,7 @@
   return XXH64(bytes.data(), bytes.size(), seed);
 }
 
-// Of the length as it lies in memory, as every version before has done it.
+// Hashes the length in host byte order, for compatibility with all earlier versions.
 std::uint32_t HashLength(std::uint32_t length) {
   return static_cast<std::uint32_t>(XXH64(&length, sizeof length, kLengthSeed));
 }
@@ -46,7 +46,7 @@
   return payload;
 }
 
-// Applies a record's payload. False if it is none.
+// Applies a record's payload to `state`. Returns false if the payload is invalid.
 bool ReplayRecord(std::string_view payload, PersistentState& state) {
   Reader in(payload);
   switch (static_cast<Tag>(in.U8())) {
@@ -120,7 +120,7 @@
       replayed.damaged = true;
       break;
     }
-    if (kHeaderBytes + length > rest.size()) break;  // cut short
+    if (kHeaderBytes + length > rest.size()) break;  // incomplete last record
     const std::string_view payload = rest.substr(kHeaderBytes, length);
     if (Hash(payload, kPayloadSeed) != payload_hash || !ReplayRecord(payload, replayed.state)) {
       replayed.damaged = true;
--- a/src/consensus/log_records.hpp
+++ b/src/consensus/log_records.hpp
@@ -1,13 +1,14 @@
-// The bytes of FileStore's two files. Both formats are stored data: what is written today must be
-// read by every later version.
+// Codec of FileStore's two files. Both formats are stored data: every later version must be able to
+// read what this one writes.
 //
-//   settled            records one after the other:
-//                      length u32 | check of the length u32 | hash of the payload u64 | payload
+//   settled            a sequence of records:
+//                      length u32 | hash of the length u32 | hash of the payload u64 | payload
 //                      payload: tag u8 | the fields of that record
-//   settled.snapshot   hash of the rest u64 | index, term, servers' index: u64 each | servers |
-//                      state
+//   settled.snapshot   hash of the remaining bytes u64 | index, term, index of the configuration:
+//                      u64 each | servers | state
 //
-// Hashes are XXH64, numbers in network order. No I/O here; any thread may call.
+// Hashes are XXH64; numbers are in network byte order. The functions do no I/O and may be called
+// from any thread.
 #ifndef BRASSFRONT_CONSENSUS_LOG_RECORDS_HPP_
 #define BRASSFRONT_CONSENSUS_LOG_RECORDS_HPP_
 
@@ -21,26 +22,27 @@
 
 namespace brassfront::consensus {
 
-// ---- records of the log: each one changes the persistent state ----
+// ---- log records; each one changes the persistent state ----
 
 [[nodiscard]] std::string EncodeTermRecord(std::uint64_t term);
 [[nodiscard]] std::string EncodeVoteRecord(std::uint64_t id);
 [[nodiscard]] std::string EncodeEntryRecord(const LogEntry& entry);
 [[nodiscard]] std::string EncodeTruncateRecord(std::uint64_t from);
-// A whole log: one record with all but the entries, then the entries.
+// Encodes a complete log: one record with the term, the vote and the first index, then one record
+// for each entry.
 [[nodiscard]] std::string EncodeLog(const PersistentState& state);
 
 struct ReplayedLog {
-  PersistentState state;        // without the snapshot, and not to be used where damaged
-  std::size_t valid_bytes = 0;  // after these stands nothing, or a record that was cut short
-  bool damaged = false;         // a record that is all there differs from what was written
+  PersistentState state;        // without the snapshot; not to be used if `damaged` is set
+  std::size_t valid_bytes = 0;  // length of the valid records; an incomplete one may follow
+  bool damaged = false;         // a complete record differs from what was written
 };
 [[nodiscard]] ReplayedLog ReplayLog(std::string_view log);
 
 // ---- the snapshot ----
 
 [[nodiscard]] std::string EncodeSnapshot(const Snapshot& snapshot);
-// Nothing if the bytes differ from what was written.
+// Returns nullopt if the bytes differ from what was written.
 [[nodiscard]] std::optional<Snapshot> DecodeSnapshot(std::string_view bytes);
 
 }  // namespace brassfront::consensus
--- a/src/consensus/raft_configuration.cpp
+++ b/src/consensus/raft_configuration.cpp
@@ -5,7 +5,7 @@
 namespace brassfront::consensus {
 namespace {
 
-constexpr std::size_t kMaxServers = 16;  // in one configuration; a roster has 7 voters at most
+constexpr std::size_t kMaxServers = 16;  // in one configuration; a roster has at most 7 voters
 
 }  // namespace
 
--- a/src/consensus/raft_configuration.hpp
+++ b/src/consensus/raft_configuration.hpp
@@ -1,5 +1,6 @@
-// The configuration of the Raft cluster, which servers replicate the log: conversions to and from
-// libraft's type and bytes, and the rule by which the leader brings it to the roster's voters.
+// The configuration of the Raft cluster, that is, the servers that replicate the log: conversions
+// to and from libraft's type and bytes, and the steps by which the leader adapts it to the roster's
+// voters.
 #ifndef BRASSFRONT_CONSENSUS_RAFT_CONFIGURATION_HPP_
 #define BRASSFRONT_CONSENSUS_RAFT_CONFIGURATION_HPP_
 
@@ -18,14 +19,14 @@
 
 [[nodiscard]] std::vector<Server> ReadConfiguration(const raft_configuration& configuration);
 
-// Initializes `configuration` with the servers; the caller closes it by raft_configuration_close,
-// also where this returns false because libraft does not accept one of them.
+// Initializes `configuration` with the servers. Returns false if libraft rejects one of them. The
+// caller must call raft_configuration_close in either case.
 [[nodiscard]] bool FillConfiguration(raft_configuration& configuration,
                                      const std::vector<Server>& servers);
 
-// count u8 | of each server: id u64, name, role u8
+// Writes: count u8 | for each server: id u64, name, role u8
 void EncodeServers(peers::Writer& out, const std::vector<Server>& servers);
-// What is not there leaves `in` broken. Reads 16 servers at most.
+// Reads at most 16 servers. Missing bytes mark `in` as broken.
 [[nodiscard]] std::vector<Server> DecodeServers(peers::Reader& in);
 
 // One step of a membership change: Raft changes one server at a time.
@@ -38,10 +39,11 @@
   bool operator==(const ConfigurationChange&) const = default;
 };
 
-// The next step from the servers there are to the roster's voters, each by the folder that it has
-// now; nothing where there is no more to do, or a voter is missing that has not yet been heard. The
-// server `own_id`, the leader itself, stays. A server that is not wanted, or whose folder was lost,
-// is removed first; then a server without a vote gets one; then a missing voter is added.
+// The next step from the current servers to the roster's voters, each with its current folder id.
+// Returns nullopt if no step remains, or if the only missing voters have not announced an empty
+// log. The server `own_id`, the leader itself, is never removed. Servers that are not in the
+// roster, or whose folder was lost, are removed first; then a server without a vote is promoted;
+// then a missing voter is added.
 [[nodiscard]] std::optional<ConfigurationChange> PlanConfigurationChange(
     const std::vector<Server>& servers, const std::vector<std::string>& voters,
     std::uint64_t own_id, const EmptyLogs& empty_logs, std::chrono::nanoseconds now);
--- a/src/consensus/raft_io_adapter.cpp
+++ b/src/consensus/raft_io_adapter.cpp
@@ -16,14 +16,14 @@
 
 int ToStatus(bool done) { return done ? 0 : RAFT_IOERR; }
 
-// Owned by libraft, which frees it. Throws std::bad_alloc.
+// The result is owned by libraft, which frees it. Throws std::bad_alloc.
 raft_snapshot* AllocateSnapshot(const Snapshot& snapshot) {
   auto* const allocated = static_cast<raft_snapshot*>(raft_calloc(1, sizeof(raft_snapshot)));
   if (allocated == nullptr) throw std::bad_alloc();
   allocated->index = snapshot.index;
   allocated->term = snapshot.term;
   allocated->configuration_index = snapshot.servers_index;
-  // The servers came out of a configuration that libraft had accepted.
+  // Cannot fail: the servers come from a configuration that libraft accepted before.
   static_cast<void>(FillConfiguration(allocated->configuration, snapshot.servers));
   allocated->bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
   if (allocated->bufs == nullptr) throw std::bad_alloc();
@@ -38,7 +38,7 @@
                              SendFunction send)
     : store_(store), machine_(machine), send_(std::move(send)), random_(seed) {
   io_.version = kIoVersion;
-  io_.impl = this;  // `data` is libraft's
+  io_.impl = this;  // the field `data` is reserved for libraft
   RegisterLifecycle();
   RegisterPersistence();
   RegisterEnvironment();
@@ -68,7 +68,7 @@
   io_.bootstrap = [](raft_io* io, const raft_configuration* configuration) {
     return FromIo(io).Bootstrap(*configuration);
   };
-  // Recovery by hand would give up the promise that an acknowledged command stays.
+  // Manual recovery is not supported: it could lose commands that were already acknowledged.
   io_.recover = [](raft_io*, const raft_configuration*) -> int { return RAFT_IOERR; };
 }
 
@@ -149,7 +149,7 @@
   };
 }
 
-// ---- what they do with the store ----
+// ---- operations on the store, called by the callbacks ----
 
 int RaftIoAdapter::Load(raft_term* term, raft_id* vote, raft_snapshot** snapshot,
                         raft_index* start_index, raft_entry** entries, size_t* count) {
--- a/src/consensus/raft_io_adapter.hpp
+++ b/src/consensus/raft_io_adapter.hpp
@@ -1,9 +1,10 @@
-// What libraft asks of its environment (`raft_io`, `raft_fsm`), on a Store, a StateMachine and a
-// clock that is set by hand: no threads, no sockets, no timers, and random numbers from one seed.
+// Implements libraft's environment interfaces (`raft_io`, `raft_fsm`) with a Store, a StateMachine
+// and a clock that the caller sets. It uses no threads, sockets or timers, and draws random numbers
+// from one seed.
 //
-// libraft must not be called back while it calls; results wait until RunCompletions. The object is
-// registered with libraft by its address and therefore neither copied nor moved; it outlives the
-// `struct raft` that uses it. One thread calls it.
+// libraft must not be called back from inside one of its own calls, so results are queued until
+// RunCompletions. The object is registered with libraft by its address and can therefore be neither
+// copied nor moved; it must outlive the `struct raft` that uses it. All calls come from one thread.
 #ifndef BRASSFRONT_CONSENSUS_RAFT_IO_ADAPTER_HPP_
 #define BRASSFRONT_CONSENSUS_RAFT_IO_ADAPTER_HPP_
 
@@ -36,19 +37,19 @@
   [[nodiscard]] raft_fsm* fsm() { return &fsm_; }
 
   void SetTime(Time now) { now_ = now; }
-  // What libraft gets when it starts. Read by the caller, who also decides whether it starts at
-  // all.
+  // Sets the state that libraft loads when it starts. The caller reads it from the store and
+  // decides whether libraft is started.
   void SetPersistentState(PersistentState state) { persistent_ = std::move(state); }
 
-  // Between raft_start and raft_close only.
+  // May be called only between raft_start and raft_close.
   void Tick() { tick_(&io_); }
   void Receive(raft_message& message) { receive_(&io_, &message); }
 
-  // Tells libraft what became of its requests, including those that it makes meanwhile.
+  // Reports the results of libraft's requests to it, including requests that it makes meanwhile.
   void RunCompletions();
   [[nodiscard]] bool has_completions() const { return !completions_.empty(); }
 
-  // The store did not take an entry: nothing more may be done with it.
+  // The store failed to append entries; the node must not use it any further.
   [[nodiscard]] bool append_failed() const { return append_failed_; }
 
  private:
@@ -79,7 +80,7 @@
   raft_io_recv_cb receive_ = nullptr;
   Time now_{};
   PersistentState persistent_;
-  std::optional<Snapshot> snapshot_;  // the last one that the store has
+  std::optional<Snapshot> snapshot_;  // the last one in the store
   std::deque<std::function<void()>> completions_;
   bool append_failed_ = false;
 };
--- a/src/consensus/raft_messages.cpp
+++ b/src/consensus/raft_messages.cpp
@@ -66,7 +66,7 @@
   codec.Number(request.last_log_term);
 }
 
-// Visits the fields of the message's type. False if there is no such type.
+// Visits the fields of the message's type. Returns false if the type is unknown.
 template <typename Codec>
 bool VisitMessage(Codec& codec, raft_message& message) {
   switch (message.type) {
@@ -117,8 +117,8 @@
   peers::Writer& out_;
 };
 
-// Checks every field before it allocates anything for libraft: what has a length of its own waits
-// here until Allocate.
+// Checks every field before it allocates anything for libraft. Fields of variable length are kept
+// here until Allocate is called.
 class FieldDecoder {
  public:
   explicit FieldDecoder(peers::Reader& in) : in_(in) {}
@@ -147,11 +147,11 @@
   void Configuration(raft_configuration&) { servers_ = DecodeServers(in_); }
   void Data(raft_buffer&) { data_ = in_.Text(); }
 
-  // Everything was read, and everything was there and within its range.
+  // Whether all bytes were read, no field was missing and every value is in its range.
   [[nodiscard]] bool complete() const { return valid_ && in_.done(); }
 
-  // Gives a complete message its entries, or its configuration and data. False, with nothing left
-  // allocated, if libraft does not accept the configuration.
+  // Allocates the entries, or the configuration and the data, of a complete message. Returns false,
+  // with nothing left allocated, if libraft rejects the configuration.
   bool Allocate(raft_message& message) const {
     if (message.type == RAFT_IO_APPEND_ENTRIES) AllocateEntries(message.append_entries);
     if (message.type != RAFT_IO_INSTALL_SNAPSHOT) return true;
@@ -169,8 +169,8 @@
     if (entries_.empty()) return;
     request.entries = static_cast<raft_entry*>(raft_calloc(entries_.size(), sizeof(raft_entry)));
     if (request.entries == nullptr) throw std::bad_alloc();
-    // All bytes in one batch: libraft copies what it keeps of a message's entries and frees their
-    // batch, but not the bytes of an entry without one.
+    // All entries share one batch buffer: libraft copies the entries that it keeps and frees their
+    // batch, but it would not free the bytes of an entry without a batch.
     std::string all;
     for (const LogEntry& entry : entries_) all += entry.data;
     void* const batch = AllocateBuffer(all).base;
@@ -195,7 +195,7 @@
   peers::Writer out;
   out.U64(message.server_id).U8(message.type);
   FieldEncoder encoder(out);
-  raft_message fields = message;  // the pointers in it stay the caller's
+  raft_message fields = message;  // shallow copy; the caller keeps owning what it points to
   VisitMessage(encoder, fields);
   return out.Take();
 }
--- a/src/consensus/raft_node.cpp
+++ b/src/consensus/raft_node.cpp
@@ -14,15 +14,16 @@
 namespace brassfront::consensus {
 namespace {
 
-// Entries after which a snapshot is taken, and entries before it that stay for followers that lag
-// behind. Together 72 entries of kMaxCommandBytes, 36 KiB: the longest AppendEntries message has to
-// fit into one frame (peers::kMaxFrameBytes, 60 KiB).
+// A snapshot is taken after kSnapshotThreshold entries; kSnapshotTrailing entries before it are
+// kept for followers that lag behind. Together these are 72 entries of kMaxCommandBytes, 36 KiB, so
+// that the longest AppendEntries message fits into one frame (peers::kMaxFrameBytes, 60 KiB).
 constexpr unsigned kSnapshotThreshold = 48;
 constexpr unsigned kSnapshotTrailing = 24;
-// A snapshot that is not acknowledged within so many election timeouts is sent again: the follower
-// has been away for that long.
+// Election timeouts after which an unacknowledged snapshot is sent again; the follower was
+// unreachable for that time.
 constexpr int kInstallSnapshotElections = 4;
-// libraft compares its timeouts at each tick: two ticks a heartbeat keep it within half of one.
+// libraft checks its timeouts at each tick, so two ticks per heartbeat interval limit the delay to
+// half an interval.
 constexpr int kTicksPerHeartbeat = 2;
 
 unsigned ToMilliseconds(Time time) {
@@ -35,7 +36,7 @@
   Raft(Store& store, StateMachine& machine, std::uint64_t seed, RaftIoAdapter::SendFunction send)
       : adapter(store, machine, seed, std::move(send)) {}
 
-  // Asks for the change; `change_pending` holds until libraft has answered.
+  // Requests the change from libraft; `change_pending` stays set until libraft reports its result.
   void Request(const ConfigurationChange& change);
 
   RaftIoAdapter adapter;
@@ -53,7 +54,7 @@
   struct raft& raft = raft_->raft;
   if (raft_init(&raft, raft_->adapter.io(), raft_->adapter.fsm(), options_.id,
                 options_.self.c_str()) != 0) {
-    throw std::runtime_error("the settled log cannot be set up");
+    throw std::runtime_error("libraft cannot be initialized for the replicated log");
   }
   raft.data = raft_.get();
   raft_set_election_timeout(&raft, ToMilliseconds(options_.election));
@@ -94,7 +95,8 @@
 
 void RaftNode::TickWithoutLog(Time now) {
   if (persistent_.empty()) return AnnounceEmptyLog(now);
-  // A log of an earlier process: only once peers have confirmed that it is not an old copy.
+  // The log was written by an earlier process. It is used only after peers have confirmed that it
+  // is not an old copy.
   if (may_vote_) Start();
 }
 
@@ -103,7 +105,8 @@
   raft_->adapter.SetTime(now);
   if (broken()) return;
   if (is_bootstrap) return ReceiveBootstrap(from, identity, body, now);
-  // A node without a log joins: the leader that knows its folder's id has added it.
+  // A node without a log may join: it receives this message because a leader that knows its folder
+  // id has added it.
   const bool may_join = persistent_.empty() && !damaged_;
   if (!started_ && !may_join) return;
   raft_message message{};
@@ -151,7 +154,7 @@
   Start();
 }
 
-// The first voter then bootstraps, once all others have announced an empty log as well.
+// The first voter also bootstraps the cluster once all other voters have announced an empty log.
 void RaftNode::AnnounceEmptyLog(Time now) {
   const std::vector<std::string>& voters = options_.voters;
   const bool is_voter = std::find(voters.begin(), voters.end(), options_.self) != voters.end();
@@ -161,7 +164,8 @@
   for (const std::string& voter : voters) {
     if (voter != options_.self) messages_.push_back({voter, true, body});
   }
-  // A damaged log was not empty: whoever has one waits to be added.
+  // A damaged log was not empty, so a node that has one does not bootstrap but waits until a leader
+  // adds it.
   if (voters.front() != options_.self || damaged_) return;
   const auto servers = MakeFirstConfiguration(voters, options_.id, empty_logs_, now);
   if (servers) Bootstrap(*servers);
@@ -180,8 +184,8 @@
 
 void RaftNode::OnEmptyLog(const std::string& from, std::uint64_t identity, Time now) {
   empty_logs_.Record(from, identity, now);
-  // The folder is in the first configuration and has not heard of it. No other one exists that it
-  // could have been told instead.
+  // The announcing folder is in the first configuration but has not received it. No other first
+  // configuration exists, so it cannot have received a different one.
   if (!ContainsServer(first_configuration_, identity, from)) return;
   messages_.push_back(
       {from, true, EncodeBootstrapMessage(FirstConfiguration{first_configuration_})});
@@ -218,7 +222,8 @@
   change_pending = true;
 }
 
-// The leader's: one step at a time, each after the last one is committed and applied.
+// Called on every tick, effective on the leader only. Makes one change at a time, each after the
+// previous one was committed and applied.
 void RaftNode::ChangeConfiguration(Time now) {
   if (!leads() || raft_->change_pending) return;
   const struct raft& raft = raft_->raft;
@@ -230,7 +235,7 @@
   if (change) raft_->Request(*change);
 }
 
-// ======== what is known ========
+// ======== queries ========
 
 bool RaftNode::leads() const { return started_ && raft_state(&raft_->raft) == RAFT_LEADER; }
 
--- a/src/consensus/raft_node.hpp
+++ b/src/consensus/raft_node.hpp
@@ -1,19 +1,20 @@
-// One voter of a Raft cluster: it replicates a log of commands among the voters of a fleet, in one
-// order that is the same everywhere, and applies committed commands to a state machine. The
-// protocol itself is libraft (Canonical's C-Raft), with pre-vote.
+// One voter of a Raft cluster: it replicates a log of commands among the voters of a fleet, in the
+// same order on each of them, and applies committed commands to a state machine. libraft
+// (Canonical's C-Raft) implements the protocol, with pre-vote.
 //
-// A core: no I/O of its own (the store is handed in), no clock, no threads, one seed. It is fed the
-// bodies of frames and the time, and returns what to send and what became of commands. One thread
-// owns it.
+// Deterministic: the store is injected, and the node has no clock, no threads and one random seed.
+// The caller passes in the bodies of received frames and the time, and gets back the messages to
+// send and the outcomes of commands. Owned by one thread.
 //
 // Invariants:
-// - A vote and an entry are in the store before the message that says so is returned.
-// - A voter is identified by its folder (a random id), not by its name. One whose folder was lost
-//   comes back with another id, which is in no configuration, so it cannot vote a second time in a
-//   term that it has forgotten. The leader then replaces the old id by the new one.
-// - The first configuration is made by the first voter of the roster, once every voter has
-//   announced that its log is empty (bootstrap.hpp).
-// - A log of an earlier process is used only after AllowVoting: the folder may be an old copy.
+// - A vote or an entry is in the store before a message that reports it is returned.
+// - A voter is identified by its folder (a random id), not by its name. A voter that lost its
+//   folder returns with a new id that is in no configuration, so it cannot vote a second time in a
+//   term that it has forgotten. The leader then replaces the old id with the new one.
+// - The first voter of the roster creates the first configuration, once every voter has announced
+//   that its log is empty (bootstrap.hpp).
+// - A log of an earlier process is used only after AllowVoting, because the folder may be an old
+//   copy.
 #ifndef BRASSFRONT_CONSENSUS_RAFT_NODE_HPP_
 #define BRASSFRONT_CONSENSUS_RAFT_NODE_HPP_
 
@@ -35,80 +36,83 @@
 
 using Time = std::chrono::nanoseconds;  // on the member's own monotonic clock
 
-// Bounds an AppendEntries message: at most the entries that one snapshot interval leaves in the log
-// (raft_node.cpp), of this size each, fit into one frame (peers::kMaxFrameBytes).
+// Maximum size of a command. It bounds an AppendEntries message: all entries that a snapshot
+// interval leaves in the log (raft_node.cpp), each of this size, fit into one frame
+// (peers::kMaxFrameBytes).
 inline constexpr std::size_t kMaxCommandBytes = 512;
 
 class RaftNode {
  public:
   struct Options {
-    std::uint64_t id = 0;                             // of the folder
-    std::string self;                                 // the member's name
-    std::vector<std::string> voters;                  // of the roster, in its order
-    Time heartbeat = std::chrono::milliseconds(100);  // between two of the leader's
-    // Without a heartbeat for this time to twice this time, a voter starts an election.
+    std::uint64_t id = 0;                             // folder id
+    std::string self;                                 // name of this member
+    std::vector<std::string> voters;                  // names, in the order of the roster
+    Time heartbeat = std::chrono::milliseconds(100);  // interval of the leader's heartbeats
+    // A voter starts an election after a random time between this and twice this without a
+    // heartbeat.
     Time election = std::chrono::milliseconds(500);
-    std::uint64_t seed = 1;  // of the election timeouts
+    std::uint64_t seed = 1;  // for random election timeouts
   };
   struct Message {
-    std::string to;             // a member's name
-    bool is_bootstrap = false;  // of the bootstrap, else of Raft
+    std::string to;             // name of the receiving member
+    bool is_bootstrap = false;  // a bootstrap message; otherwise a Raft message
     std::string body;
   };
-  // What became of a proposed command. kApplied: it is committed and applied. kNotLeader, kTooLong:
-  // it never will be. kUnknown: it may be committed yet; propose it again under the same number.
+  // Outcome of a proposed command. kApplied: it was committed and applied. kNotLeader, kTooLong: it
+  // was rejected and will never be committed. kUnknown: it may still be committed, so the caller
+  // proposes it again under the same number.
   enum class Outcome { kApplied, kNotLeader, kTooLong, kUnknown };
   using Done = std::function<void(Outcome)>;
 
-  // `store` and `machine` must outlive the node. Throws std::runtime_error where libraft cannot be
-  // set up.
+  // `store` and `machine` must outlive the node. Throws std::runtime_error if libraft cannot be
+  // initialized.
   RaftNode(Options options, Store& store, StateMachine& machine);
-  // Calls the `done` of every command that is still open.
+  // Calls the `done` of every command without an outcome.
   ~RaftNode();
   RaftNode(const RaftNode&) = delete;
   RaftNode& operator=(const RaftNode&) = delete;
 
-  // Does what is due at `now`, which never runs backwards.
+  // Does the work that is due at `now`, which never goes backwards.
   void Tick(Time now);
-  // When Tick is due next: Time::max() once the node is broken, so that no caller spins on a time
-  // in the past.
+  // The time at which Tick is due next; Time::max() once the node is broken, so that no caller
+  // spins on a time in the past.
   [[nodiscard]] Time Next() const { return broken() ? Time::max() : next_tick_; }
-  // A message of the member `from`, whose folder is `identity` as its frame says. What cannot be
-  // read is dropped.
+  // Handles a message from the member `from`; `identity` is the folder id in the frame. Messages
+  // that cannot be decoded are dropped.
   void Receive(const std::string& from, std::uint64_t identity, bool is_bootstrap,
                std::string_view body, Time now);
-  // What to send, in order. Each call returns a message once.
+  // Returns the messages to send, in order, and clears the list.
   std::vector<Message> TakeMessages() { return std::exchange(messages_, {}); }
 
-  // `done` is called once, during this call or a later one.
+  // Proposes a command. `done` is called exactly once, during this call or a later one.
   void Propose(std::string_view command, Done done);
-  // The roster's voters have changed; the leader brings the configuration there, one server at a
-  // time.
+  // Replaces the roster's voters; the leader then changes the configuration to match, one server at
+  // a time.
   void SetVoters(std::vector<std::string> voters) { options_.voters = std::move(voters); }
-  // The folder is known to be no old copy (FailureDetector::folder_is_stale): a log of an earlier
-  // process may be used.
+  // Allows the log of an earlier process to be used; called once the folder is known not to be an
+  // old copy (FailureDetector::folder_is_stale).
   void AllowVoting() { may_vote_ = true; }
 
   [[nodiscard]] bool leads() const;
-  [[nodiscard]] std::string leader() const;  // a member's name; empty: none known
+  [[nodiscard]] std::string leader() const;  // name of a member; empty if no leader is known
   [[nodiscard]] std::uint64_t term() const;
   [[nodiscard]] std::uint64_t last_index() const;
-  // This node has a log and takes part.
+  // This node has a log and takes part in the cluster.
   [[nodiscard]] bool bootstrapped() const { return started_; }
-  // The store has failed: this node does nothing more and is to be made anew.
+  // The store has failed. The node does nothing any more; the caller must create a new one.
   [[nodiscard]] bool broken() const;
-  // The log in the store could not be trusted; the node takes part only once a leader has added it.
+  // The log in the store was damaged; the node takes part only after a leader has added it.
   [[nodiscard]] bool damaged() const { return damaged_; }
   [[nodiscard]] std::vector<Server> servers() const;
-  // This folder is one of the servers, as a voter.
+  // The configuration contains this folder as a voter.
   [[nodiscard]] bool votes() const;
 
  private:
   struct Raft;  // libraft and its adapter
 
-  // Starts libraft on the persistent state, once.
+  // Starts libraft with the persistent state; does nothing if it has already started.
   void Start();
-  // Writes the first entry, the configuration of these servers, and starts.
+  // Writes the first entry, the configuration of these servers, and starts libraft.
   void Bootstrap(const std::vector<Server>& servers);
   void TickWithoutLog(Time now);
   void AnnounceEmptyLog(Time now);
@@ -120,11 +124,11 @@
 
   Options options_;
   Store& store_;
-  bool damaged_ = false;        // set by the load of the next member
-  PersistentState persistent_;  // as loaded, until libraft takes it over
+  bool damaged_ = false;        // set while persistent_ is loaded, so it is declared first
+  PersistentState persistent_;  // the loaded state, until libraft starts with it
   std::unique_ptr<Raft> raft_;
   EmptyLogs empty_logs_;
-  std::vector<Server> first_configuration_;  // if this process has bootstrapped
+  std::vector<Server> first_configuration_;  // empty unless this process has bootstrapped
   bool started_ = false, may_vote_ = false;
   Time next_tick_{}, next_announcement_{};
   std::vector<Message> messages_;
--- a/src/consensus/state_machine.hpp
+++ b/src/consensus/state_machine.hpp
@@ -1,5 +1,5 @@
-// What committed commands are applied to: the interface between the replicated log and the state
-// that it is for.
+// Interface between the replicated log and the replicated state: committed commands are applied to
+// a state machine.
 #ifndef BRASSFRONT_CONSENSUS_STATE_MACHINE_HPP_
 #define BRASSFRONT_CONSENSUS_STATE_MACHINE_HPP_
 
@@ -8,14 +8,14 @@
 
 namespace brassfront::consensus {
 
-// The same commands must give the same state on every voter: no clock, no random numbers, no I/O.
-// Called by the thread that owns the RaftNode.
+// The same commands must produce the same state on every voter, so an implementation uses no clock,
+// no random numbers and no I/O. Called by the thread that owns the RaftNode.
 class StateMachine {
  public:
   virtual ~StateMachine() = default;
   virtual void Apply(std::string_view command) = 0;
-  // The whole state as bytes, for a snapshot, and back. Load returns false if the bytes are no
-  // saved state.
+  // Save encodes the complete state for a snapshot, and Load restores it. Load returns false if the
+  // bytes are not a saved state.
   [[nodiscard]] virtual std::string Save() const = 0;
   virtual bool Load(std::string_view state) = 0;
 };
--- a/src/maintenance/maintenance_scheduler.cpp
+++ b/src/maintenance/maintenance_scheduler.cpp
@@ -19,10 +19,10 @@
          request.times_overtaken / kGrantsPerUrgencyStep;
 }
 
-// Compared field by field, in this order; the greatest is granted first.
+// Compared field by field in this order; the request with the greatest priority is granted first.
 struct GrantPriority {
   std::uint32_t urgency = 0;
-  bool other_zone = false;  // than the last grant's
+  bool other_zone = false;  // in a different zone than the last grant
   std::uint64_t load = 0;   // messages in flight
   std::uint64_t seniority = 0;
 
@@ -45,7 +45,7 @@
   return ProposeGrant(state_machine, seen);
 }
 
-// One change at a time, so that each is a small command.
+// Proposes one change at a time, so that each command is small.
 std::optional<Command> MaintenanceScheduler::ProposeRosterChange(
     const MaintenanceState& state_machine, const peers::Roster& roster) {
   Command command;
@@ -118,9 +118,9 @@
   return std::nullopt;
 }
 
-// In order: urgency; another zone than the last grant's; the highest load, which gains most while
-// other members still have capacity for its clients; the oldest. The grant is a committed command,
-// so that every member sees the same order.
+// Chooses by, in this order: the urgency; a different zone than the last grant; the highest load,
+// because a loaded machine gains most while other members still have capacity for its clients; the
+// age. The grant is a committed command, so that every member sees the same order.
 std::optional<Command> MaintenanceScheduler::ProposeGrant(
     const MaintenanceState& state_machine, const std::map<std::string, ObservedMember>& seen) {
   const Request* best = nullptr;
@@ -136,7 +136,7 @@
   for (const auto& [id, request] : state_machine.requests()) {
     if (!state_machine.CanBeGranted(request)) continue;
     const auto it = seen.find(request.name);
-    // A suspected machine may be dead, and would hold a slot already.
+    // A suspect machine may be dead, and then already occupies a slot.
     if (request.kind == Kind::kMachine &&
         (it == seen.end() || it->second.state != peers::State::kAlive)) {
       continue;
--- a/src/maintenance/maintenance_scheduler.hpp
+++ b/src/maintenance/maintenance_scheduler.hpp
@@ -1,5 +1,6 @@
-// What the leader proposes for the replicated log: it brings the committed state up to what it
-// observes, enforces deadlines and grants slots. No I/O; the time is the caller's monotonic clock.
+// Chooses the commands that the leader proposes for the replicated log: they update the committed
+// state to what the leader observes, enforce deadlines and grant slots. No I/O; the caller passes
+// its monotonic time.
 #ifndef BRASSFRONT_MAINTENANCE_MAINTENANCE_SCHEDULER_HPP_
 #define BRASSFRONT_MAINTENANCE_MAINTENANCE_SCHEDULER_HPP_
 
@@ -24,20 +25,23 @@
   std::uint64_t load = 0;  // messages in flight, as the member reports
 };
 
-// After this many grants to later requests a request counts as one urgency higher, so that none
-// waits for more than 2 x kGrantsPerUrgencyStep grants more than the requests before it.
+// After this many grants to later requests, a request counts as one urgency higher. A request thus
+// waits for at most 2 x kGrantsPerUrgencyStep grants in addition to those of the requests before
+// it.
 inline constexpr std::uint32_t kGrantsPerUrgencyStep = 8;
 
-// Chooses the next command. Used by the leader's fleet thread alone.
+// Used only by the leader's fleet thread.
 class MaintenanceScheduler {
  public:
-  // The next command to propose, or none; to be called again once that one is committed or lost. A
-  // leader of less than SettlingTime grants nothing: it may not have noticed yet who is dead.
+  // Returns the next command to propose, or nullopt. Must be called again once that command was
+  // committed or lost. A leader grants nothing until it has led for SettlingTime, because it may
+  // not have detected all dead members yet.
   [[nodiscard]] std::optional<Command> Next(const MaintenanceState& state_machine,
                                             const peers::Roster& roster,
                                             const std::map<std::string, ObservedMember>& seen,
                                             Time time_as_leader, Time now);
-  // The time in which a connected fleet detects any death: two suspicion periods and six probes.
+  // The time in which a connected fleet detects any dead member: two suspicion periods and six
+  // probes.
   [[nodiscard]] static Time SettlingTime(const peers::Timings& timings) {
     return 2 * timings.suspicion + 6 * timings.probe;
   }
@@ -52,8 +56,8 @@
   static std::optional<Command> ProposeGrant(const MaintenanceState& state_machine,
                                              const std::map<std::string, ObservedMember>& seen);
 
-  // When this leader first saw a request in its state. A new leader counts anew, so that each
-  // change of leaders extends a deadline once at most.
+  // When this leader first saw a request in its current state. A new leader starts measuring again,
+  // so that each change of leader extends a deadline at most once.
   struct ObservedRequestState {
     State state{};
     Time since{};
--- a/src/maintenance/maintenance_state.cpp
+++ b/src/maintenance/maintenance_state.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::string_view kAllMachines = "all";
-constexpr std::string_view kZonePrefix = "hall:";  // an operator's word for a zone
+constexpr std::string_view kZonePrefix = "hall:";  // operators call a zone a hall
 constexpr std::size_t kMaxListedNames = 160;       // bytes of member names in an error text
 
 void AppendName(std::string& list, const char* separator, const std::string& name) {
@@ -45,8 +45,8 @@
   return nullptr;
 }
 
-// Counted once for each command and not on each query: with hundreds of requests the leader queries
-// every one of them each time it wakes up.
+// Slots are counted once for each command instead of on each query, because with hundreds of
+// requests the leader checks every one of them each time it wakes up.
 void MaintenanceState::CountSlots() {
   slots_in_use_.clear();
   const auto use = [this](const std::string& zone) {
@@ -85,7 +85,8 @@
   return CanBeGranted(request) ? "" : SlotHolders(member->second.zone);
 }
 
-// The machines whose slots a request in this zone waits for: all, if the fleet has no slot left.
+// Lists the machines whose slots a request in this zone waits for. If the fleet has no slot left,
+// these are the machines of all zones.
 std::string MaintenanceState::SlotHolders(const std::string& zone) const {
   const bool fleet_is_full = SlotsInUse() >= max_out_total_;
   std::string holders;
@@ -110,7 +111,8 @@
     const auto it = request.confirmed.find(name);
     const bool has_confirmed =
         it != request.confirmed.end() && it->second >= member.process_incarnation;
-    // A process that has ended starts no calls, and the next one begins with the exclusion.
+    // A process that has ended starts no calls, and the next process starts with the exclusion in
+    // place.
     const bool ended =
         member.dead && member.ended >= member.process_incarnation && member.ended > 0;
     if (!has_confirmed && !ended) names.push_back(name);
@@ -133,7 +135,7 @@
 
 void MaintenanceState::Execute(const Command& command) {
   if (IsOperatorCommand(command.verb)) {
-    // An operator retries a command whose result was lost.
+    // Operators retry a command if its result was lost.
     const bool is_retry = command.token != 0 && ResultFor(command.token) != nullptr;
     if (is_retry) return;
     ExecuteOperatorCommand(command);
@@ -201,7 +203,7 @@
   }
 }
 
-// ======== commands of operators ========
+// ======== operator commands ========
 
 RequestResult MaintenanceState::RequestMaintenance(const Command& command) {
   const std::string& name = command.name;
@@ -306,7 +308,8 @@
 
 // ======== commands on one request ========
 
-// Enforces the limits: the proposer may have known less than what was committed since.
+// Checks the limits again, because commands may have been committed since the leader proposed the
+// grant.
 void MaintenanceState::Grant(Request& request) {
   if (!CanBeGranted(request)) return;
   request.state = State::kDraining;
@@ -357,7 +360,7 @@
   member.process_incarnation = std::max(member.process_incarnation, command.process_incarnation);
 }
 
-// ======== what follows from each command ========
+// ======== steps after each command ========
 
 void MaintenanceState::FinishEndpointDrains() {
   for (auto& [id, request] : requests_) {
--- a/src/maintenance/maintenance_state.hpp
+++ b/src/maintenance/maintenance_state.hpp
@@ -1,12 +1,13 @@
-// The replicated state of maintenance: which machines and endpoints are requested for maintenance,
-// draining or out, and which slots they hold. The replicated log drives it, so that it is the same
-// on every member. No I/O, no clock, no randomness; one thread at a time.
+// The replicated maintenance state: the machines and endpoints for which maintenance is requested,
+// which of them are draining or out, and the slots that they occupy. The replicated log drives it,
+// so that it is the same on every member. No I/O, no clock, no randomness; one thread at a time.
 //
-// A slot is one machine that the fleet may do without. Invariants:
-// - A dead machine holds a slot. A machine with a granted request holds one from the grant until it
-//   reports that it serves again, so a slot is never granted while its holder may still be out.
-// - A grant beyond the limits, in total or in a zone, is ignored when it is applied, whatever its
-//   proposer knew.
+// A slot allows one machine to be out of service. Invariants:
+// - A dead machine occupies a slot. A machine with a granted request occupies one from the grant
+//   until it reports that it serves again, so a slot is never granted again while the machine may
+//   still be out.
+// - A grant beyond the limits, in total or in a zone, is ignored when it is applied, even if it was
+//   valid when it was proposed.
 // - A command with the token of a stored result changes nothing: retries are idempotent.
 #ifndef BRASSFRONT_MAINTENANCE_MAINTENANCE_STATE_HPP_
 #define BRASSFRONT_MAINTENANCE_MAINTENANCE_STATE_HPP_
@@ -25,9 +26,9 @@
 
 namespace brassfront::maintenance {
 
-// The life of a request: kRequested waits for a slot; kDraining, kOut and kReturning follow a
-// grant; kBack and kCancelled are final. kFailed: a deadline passed; a machine keeps its slot until
-// it is brought back.
+// The lifecycle of a request. kRequested: it waits for a slot. kDraining, kOut and kReturning
+// follow a grant. kFailed: a deadline has passed; the machine keeps its slot until an operator
+// brings it back. kBack and kCancelled are final.
 enum class State : std::uint8_t {
   kRequested,
   kDraining,
@@ -50,14 +51,14 @@
 struct Request {
   std::uint64_t id = 0;
   Kind kind = Kind::kMachine;
-  std::string name;  // of the machine, or the endpoint's id
+  std::string name;  // name of the machine, or id of the endpoint
   Urgency urgency = Urgency::kNormal;
   State state = State::kRequested;
-  // Grants to requests that were made later; raises the effective urgency.
+  // Number of grants to later requests; raises the effective urgency.
   std::uint32_t times_overtaken = 0;
   std::string why;  // the reason, with kFailed and kCancelled
-  // Of an endpoint: the members that start no more calls there, with the process incarnation in
-  // which each of them confirmed it.
+  // For an endpoint: the members that have confirmed that they start no more calls to it, with the
+  // process incarnation in which each of them confirmed.
   std::map<std::string, std::uint64_t> confirmed;
 
   [[nodiscard]] bool HoldsSlot() const {
@@ -65,30 +66,30 @@
   }
 };
 
-// What the log holds of one member of the roster.
+// The replicated state of one member of the roster.
 struct MemberState {
   std::string zone;
-  std::uint64_t process_incarnation = 0;  // the last one that a command named
+  std::uint64_t process_incarnation = 0;  // the highest one in any command
   bool dead = false;
-  std::uint64_t ended = 0;  // process incarnations up to this one have ended for certain
+  std::uint64_t ended = 0;  // process incarnations up to this one are known to have ended
 };
 
-// The result of an operator's command; the text is shown to the operator as it is.
+// The result of an operator command; the text is shown to the operator verbatim.
 struct RequestResult {
   bool good = false;
   std::string text;
 };
 
-// The state machine itself. Owned by the fleet's thread.
+// The state machine. Owned by the fleet thread.
 class MaintenanceState : public consensus::StateMachine {
  public:
-  // Applies one encoded command; bytes that are no valid command only count as a revision.
+  // Applies one encoded command. Bytes that are not a valid command only increment the revision.
   void Apply(std::string_view command) override;
   [[nodiscard]] std::string Save() const override;
-  // False, and nothing changes, if the bytes are no state that Save wrote.
+  // Returns false and changes nothing if the bytes are not a state that Save wrote.
   bool Load(std::string_view state) override;
 
-  [[nodiscard]] std::uint64_t revision() const { return revision_; }  // counts commands
+  [[nodiscard]] std::uint64_t revision() const { return revision_; }  // number of commands applied
   [[nodiscard]] const std::map<std::string, MemberState>& members() const { return members_; }
   [[nodiscard]] const std::map<std::uint64_t, Request>& requests() const { return requests_; }
   [[nodiscard]] const std::deque<Request>& finished_requests() const { return finished_; }
@@ -96,12 +97,12 @@
   [[nodiscard]] std::size_t max_out_per_zone() const { return max_out_per_zone_; }
   [[nodiscard]] bool grants_paused() const { return grants_paused_; }
   [[nodiscard]] const std::string& last_zone() const { return last_zone_; }
-  // The stored result of the command with this token; nullptr: none, or no longer.
+  // The stored result of the command with this token; nullptr if there is none or it was dropped.
   [[nodiscard]] const RequestResult* ResultFor(std::uint64_t token) const;
 
-  // The open request for a machine or endpoint; nullptr: none.
+  // The open request for a machine or endpoint; nullptr if there is none.
   [[nodiscard]] const Request* RequestFor(Kind kind, const std::string& name) const;
-  // Slots in use, by dead machines and by granted requests.
+  // Number of slots in use, by dead machines and by granted requests.
   [[nodiscard]] std::size_t SlotsInUse() const { return SlotsInUseInZone(""); }
   [[nodiscard]] std::size_t SlotsInUseInZone(const std::string& zone) const {  // empty: in total
     const auto it = slots_in_use_.find(zone);
@@ -109,9 +110,9 @@
   }
   // Whether a grant to this request would be accepted now.
   [[nodiscard]] bool CanBeGranted(const Request& request) const;
-  // Whom or what the request waits for, as operators read it; empty: it waits for nobody.
+  // Describes for operators what the request waits for; empty if it waits for nothing.
   [[nodiscard]] std::string WaitsFor(const Request& request) const;
-  // Members that may still start calls to the endpoint of this request, by name.
+  // Names of the members that may still start calls to the endpoint of this request.
   [[nodiscard]] std::vector<std::string> Unconfirmed(const Request& request) const;
 
  private:
@@ -120,20 +121,20 @@
   void ExecuteOperatorCommand(const Command& command);
   void ExecuteRequestCommand(const Command& command);
   void ExecuteMemberCommand(const Command& command);
-  // Of operators.
+  // Operator commands.
   RequestResult RequestMaintenance(const Command& command);
   RequestResult RequestOne(const Command& command, const std::string& name);
   RequestResult Cancel(const Command& command);
   RequestResult PauseGrants(const Command& command);
   RequestResult BringBack(const Command& command);
   RequestResult DeclareEnded(const Command& command);
-  // Of the leader and of members, on one request.
+  // Commands of the leader and of members on one request.
   void Grant(Request& request);
   static void MarkOut(Request& request);
   void Confirm(Request& request, const Command& command);
   void Return(const Request& request);
   static void Fail(Request& request, const std::string& reason);
-  // Of the leader, on the roster and on members.
+  // Commands of the leader on the roster and on members.
   void RemoveMember(const std::string& name);
   void SetLiveness(const Command& command);
 
@@ -153,8 +154,8 @@
   std::size_t max_out_total_ = 0;
   std::size_t max_out_per_zone_ = 0;
   bool grants_paused_ = false;
-  std::string last_zone_;  // of the machine that was granted last
-  // By zone, and in total under the empty name. Not saved: it follows from the rest.
+  std::string last_zone_;  // zone of the machine whose request was granted last
+  // By zone, with the total under the empty name. Not saved, because it is derived from the rest.
   std::map<std::string, std::size_t> slots_in_use_;
 };
 
--- a/src/maintenance/maintenance_state_codec.cpp
+++ b/src/maintenance/maintenance_state_codec.cpp
@@ -1,5 +1,5 @@
-// The bytes of a saved MaintenanceState: in snapshots of the replicated log and in frames to
-// members that do not vote. Stored on disk, so the format may not change.
+// Codec of a saved MaintenanceState, which is written to snapshots of the replicated log and sent
+// in frames to members that do not vote. It is stored on disk, so the format must not change.
 #include <utility>
 
 #include "maintenance/maintenance_state.hpp"
@@ -36,7 +36,7 @@
                       kind == static_cast<std::uint8_t>(Kind::kEndpoint)) &&
                      urgency <= static_cast<std::uint8_t>(Urgency::kHigh) &&
                      state <= static_cast<std::uint8_t>(State::kCancelled);
-  if (!known) in.Raw(SIZE_MAX);  // marks the reader as broken, so that Load rejects the whole
+  if (!known) in.Raw(SIZE_MAX);  // marks the reader as broken, so that Load rejects the state
   request.times_overtaken = in.U32();
   request.why = in.Name();
   for (std::size_t n = in.U16(); n > 0 && !in.broken(); --n) {
--- a/src/maintenance/member_duty.hpp
+++ b/src/maintenance/member_duty.hpp
@@ -1,5 +1,5 @@
-// What a member does for maintenance: stands by, excludes endpoints, and reports progress. A pure
-// function of the committed state and of the member's own situation; no I/O, no clock.
+// The duty of a member in maintenance: to enter standby, exclude endpoints and report progress. It
+// is a pure function of the committed state and the member's own state; no I/O, no clock.
 #ifndef BRASSFRONT_MAINTENANCE_MEMBER_DUTY_HPP_
 #define BRASSFRONT_MAINTENANCE_MEMBER_DUTY_HPP_
 
@@ -12,7 +12,7 @@
 
 namespace brassfront::maintenance {
 
-// What one member knows of itself.
+// The local state of one member.
 struct LocalMember {
   bool standing_by = false;                  // clients are sent to other members
   bool drained = false;                      // and no message is in flight
@@ -20,7 +20,7 @@
   std::set<std::string> excluded_endpoints;  // endpoints to which the engine starts no more calls
 };
 
-// What the committed state asks of one member.
+// What the committed state requires of one member.
 struct Duty {
   bool stand_by = false;                     // stop accepting clients
   std::set<std::string> excluded_endpoints;  // endpoints to start no more calls to
--- a/src/peers/atomic_file.cpp
+++ b/src/peers/atomic_file.cpp
@@ -38,7 +38,7 @@
     unlink(temporary_path.c_str());
     return false;
   }
-  // The rename itself must last as well.
+  // Synchronizes the folder, so that the rename is durable as well.
   const std::string folder_path = std::filesystem::path(path).parent_path().string();
   const FileDescriptor folder(open(folder_path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   return folder.valid() && fsync(folder.get()) == 0;
--- a/src/peers/atomic_file.hpp
+++ b/src/peers/atomic_file.hpp
@@ -1,4 +1,4 @@
-// A small file that is replaced as a whole or not at all.
+// Atomic replacement of a small file.
 #ifndef BRASSFRONT_PEERS_ATOMIC_FILE_HPP_
 #define BRASSFRONT_PEERS_ATOMIC_FILE_HPP_
 
@@ -6,9 +6,9 @@
 
 namespace brassfront::peers {
 
-// Writes the bytes to `path`.new, synchronizes and renames it, for its owner alone to read. Blocks
-// until that is on the disk. False where it fails: the old file then stands as it was, but for a
-// failure to synchronize the folder after the rename.
+// Writes the bytes to `path`.new, synchronizes that file and renames it to `path`. Only the owner
+// may read and write the file. Blocks until the data is on disk. Returns false on failure; the old
+// file is then unchanged, unless only the synchronization of the folder after the rename failed.
 [[nodiscard]] bool WriteAtomically(const std::string& path, const std::string& bytes);
 
 }  // namespace brassfront::peers
--- a/src/peers/bytes.hpp
+++ b/src/peers/bytes.hpp
@@ -1,5 +1,5 @@
-// Numbers in network order and length-prefixed texts: the encoding of all frames between forwarders
-// and of what a fleet member stores.
+// Numbers in network byte order and length-prefixed texts: the encoding of all frames between
+// forwarders and of the data that a fleet member stores.
 #ifndef BRASSFRONT_PEERS_BYTES_HPP_
 #define BRASSFRONT_PEERS_BYTES_HPP_
 
@@ -11,14 +11,14 @@
 
 namespace brassfront::peers {
 
-// Appends to a string of its own.
+// Appends encoded values to a string that it owns.
 class Writer {
  public:
   Writer& U8(std::uint64_t value) { return Number(value, 1); }
   Writer& U16(std::uint64_t value) { return Number(value, 2); }
   Writer& U32(std::uint64_t value) { return Number(value, 4); }
   Writer& U64(std::uint64_t value) { return Number(value, 8); }
-  // With its length before it: a name has 255 bytes at most, a text 2^32 - 1.
+  // Length-prefixed strings: a name has at most 255 bytes, a text at most 2^32 - 1.
   Writer& Name(std::string_view name) { return U8(name.size()).Raw(name); }
   Writer& Text(std::string_view text) { return U32(text.size()).Raw(text); }
   Writer& Raw(std::string_view bytes) {
@@ -37,8 +37,9 @@
   std::string bytes_;
 };
 
-// Reads what Writer has written, from bytes that outlive it. What is missing reads as zero or empty
-// and leaves the reader broken for good, so that a decoder checks once, by done(), at its end.
+// Decodes what Writer has written; the bytes must outlive the reader. A read past the end returns
+// zero or an empty string and marks the reader as broken for good, so that a decoder needs only one
+// check, done(), at its end.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : left_(bytes) {}
@@ -60,7 +61,7 @@
   }
   [[nodiscard]] std::size_t left() const { return left_.size(); }
   [[nodiscard]] bool broken() const { return broken_; }
-  // Everything was read, and everything was there.
+  // All bytes were read, and no read went past the end.
   [[nodiscard]] bool done() const { return !broken_ && left_.empty(); }
 
  private:
--- a/src/peers/failure_detector.cpp
+++ b/src/peers/failure_detector.cpp
@@ -8,25 +8,26 @@
 namespace brassfront::peers {
 namespace {
 
-// Probes done for others at once: bounds the memory and the frames that ping-reqs can cause here.
+// Maximum number of concurrent probes on behalf of other members; bounds the memory and the frames
+// that ping-reqs can cause here.
 constexpr std::size_t kMaxIndirectProbes = 64;
-// Periods after which the requester of an indirect probe no longer waits: its own time limit is
-// stretched to nine periods at most (LocalHealth).
+// Periods after which an indirect probe is dropped. The requester no longer waits for it by then:
+// its own time limit is stretched to at most nine periods (LocalHealth).
 constexpr int kIndirectProbePeriods = 10;
-// Proxies asked for one probe: SWIM's k.
+// Proxies that are requested to probe one target: SWIM's k.
 constexpr std::size_t kIndirectProxies = 3;
-// Peers to whom a good-bye is sent; gossip takes it to the others.
+// Peers to which a leaving member announces that it leaves; gossip spreads this to the others.
 constexpr std::size_t kLeaveReceivers = 2 * kIndirectProxies;
-// Direct probes missed in a row before the link is reported. A round of probes takes one period for
-// each member: with this, a cut link is reported within 3 x n x probe.
+// Consecutive missed direct probes before the link is reported. A round of probes takes one period
+// for each member, so a cut link is reported within 3 x n x probe.
 constexpr std::size_t kMissesBeforeLinkFault = 3;
-// Periods between two pings of peers that are dead, gone or not yet heard: somebody must notice
-// that a partition has healed.
+// Periods between two pings to peers that are dead, have left or are still unknown. They are needed
+// to notice that a partition has healed.
 constexpr std::uint64_t kPeriodsPerAbsentProbe = 5;
-// A tick that is later than this, and than twice `probe`, means that the process was paused: a tick
-// is due every `probe` at least.
+// A gap between ticks that exceeds both this and twice `probe` means that the process was paused,
+// since ticks are due at least every `probe`.
 constexpr Time kPauseThreshold = std::chrono::milliseconds(400);
-// A pause is a reason for self-doubt as two missed probes are.
+// A pause worsens the local health score as much as two missed probes.
 constexpr std::size_t kScorePerPause = 2;
 
 bool IsPresent(State state) { return state == State::kAlive || state == State::kSuspect; }
@@ -87,8 +88,8 @@
   }
 }
 
-// After a pause acks and refutations may wait in the socket: what was open is not judged, and every
-// suspicion lasts for as much longer as the pause did.
+// After a pause, acks and refutations may still be unread in the socket. Therefore the probe in
+// progress is dropped without a result, and every suspicion is extended by the length of the pause.
 void FailureDetector::RecoverFromPause(Time now) {
   if (!last_tick_) return;
   const Time gap = now - *last_tick_;
@@ -122,7 +123,7 @@
 void FailureDetector::StartPeriod(Time now) {
   ++periods_;
   StartDirectProbe(now);
-  // A suspect gets more chances to refute than its turn in the round.
+  // Suspects are pinged more often than once a round, which gives them more chances to refute.
   if (!suspects_.empty()) PingRandomSuspect();
   if (!probe_ || periods_ % kPeriodsPerAbsentProbe == 0) PingRandomAbsentPeer();
 }
@@ -178,14 +179,15 @@
   }
   if (ended.answered) return;
   ++counts_.missed;
-  // Where proxies are silent as well, it may be us.
+  // If no proxy confirmed the request either, the fault may be on this member's side.
   if (ended.proxies_heard < std::max<std::size_t>(1, ended.proxies)) local_health_.Worsen(1);
   if (peer.state == State::kAlive || peer.state == State::kUnknown) {
     Suspect(ended.target, peer, now);
   }
 }
 
-// `name` has answered the probe of this sequence number: ours, or one that we did as a proxy.
+// Called when `name` has answered the probe with this sequence number, which is either our own or
+// one that we sent as a proxy.
 void FailureDetector::OnProbeAnswered(const std::string& name, std::uint32_t sequence,
                                       bool directly) {
   if (directly) {
@@ -203,7 +205,7 @@
   if (!probe_ || probe_->target != name || probe_->sequence != sequence) return;
   if (!std::exchange(probe_->answered, true)) local_health_.Improve();
   probe_->answered_directly |= directly;
-  // Proxies reach it: it is alive, though our link to it is not.
+  // An ack by way of a proxy also shows that the peer is alive, even if our link to it is down.
   if (peer.state == State::kSuspect) SetState(name, peer, State::kAlive, peer.incarnation);
 }
 
@@ -229,7 +231,7 @@
   frames_.push_back({GetKind(message), self_, to, identity_, incarnation_, std::move(body)});
 }
 
-// What the receiver should know of itself goes first: only it can refute that.
+// The update about the receiver itself goes first, because only the receiver can refute it.
 std::vector<GossipUpdate> FailureDetector::TakeUpdatesFor(const std::string& receiver) {
   std::vector<GossipUpdate> updates;
   const auto it = peers_.find(receiver);
@@ -259,8 +261,8 @@
   std::visit([&](const auto& message) { On(message, frame.from, now); }, decoded->message);
 }
 
-// Whoever sends a frame is alive. One that is declared dead has to hear of it and refute it, for
-// others have declared it dead as well.
+// The sender of a frame is alive. If it was declared dead here, it must still learn of that and
+// refute it, because other members have declared it dead as well.
 void FailureDetector::RecordSender(const Frame& frame, Time now) {
   Peer& peer = peers_.at(frame.from);
   peer.last_heard = now;
@@ -272,7 +274,7 @@
     peer.former_identity = std::exchange(peer.identity, frame.identity);
   }
   if (frame.incarnation < peer.incarnation) {
-    ++counts_.stale;  // our answer tells it what we know
+    ++counts_.stale;  // our reply carries the newer incarnation to the sender
     return;
   }
   if (frame.incarnation > peer.incarnation || peer.state == State::kUnknown) {
@@ -291,7 +293,8 @@
   if (!peers_.contains(request.target) || indirect_probes_.size() >= kMaxIndirectProbes) return;
   indirect_probes_.push_back(
       {next_sequence_, from, request.sequence, now + kIndirectProbePeriods * timings_.probe});
-  // The requester learns that a proxy hears it, whatever becomes of the probe.
+  // Confirms the request, so that the requester knows that it reached a proxy, even if the probe
+  // fails.
   Send(from, Ack{request.sequence, self_});
   SendPing(request.target);
 }
@@ -328,7 +331,8 @@
   }
 }
 
-// Refutes our own suspicion or death with an incarnation above that of the update.
+// Refutes an update that reports this member as suspect or dead, with an incarnation above that of
+// the update.
 void FailureDetector::ApplyUpdateAboutSelf(const GossipUpdate& update) {
   if (ProcessIncarnationOf(update.incarnation) > ProcessIncarnationOf(incarnation_)) {
     folder_is_stale_ = true;
@@ -341,7 +345,7 @@
   Disseminate(self_);
 }
 
-// The updates below are of the peer's incarnation or a higher one.
+// The functions below require that the update's incarnation is at least the peer's.
 
 void FailureDetector::ApplyAlive(const GossipUpdate& update, Peer& peer) {
   if (update.incarnation == peer.incarnation && peer.state != State::kUnknown) return;
@@ -355,8 +359,8 @@
   Suspect(update.name, peer, now);
 }
 
-// When a partition heals, each side says that the other is dead. Whoever is alive gets the time to
-// refute that, and one that we have heard lately is not declared dead.
+// When a partition heals, each side reports the other as dead. A peer that is alive gets time to
+// refute that, and a peer whose frames arrived recently is not declared dead.
 void FailureDetector::ApplyDead(const GossipUpdate& update, Peer& peer, Time now) {
   if (IsGone(peer.state)) return;
   peer.incarnation = update.incarnation;
@@ -373,7 +377,7 @@
   Disseminate(update.name);
 }
 
-// ======== what is believed of a peer ========
+// ======== state of a peer ========
 
 void FailureDetector::Suspect(const std::string& name, Peer& peer, Time now) {
   if (peer.state == State::kSuspect) return;
@@ -404,14 +408,14 @@
 void FailureDetector::UpdateLink(const std::string& name, Peer& peer) {
   Link link = Link::kTwoWay;
   if (peer.missed_probes >= kMissesBeforeLinkFault && peer.state == State::kAlive) {
-    // Two rounds: in that time it has probed us, if it can reach us.
+    // Two rounds: a peer that can reach us has probed us within that time.
     const auto periods = static_cast<Time::rep>(2 * peers_.size() + 4);
     const bool ever_heard = peer.last_heard > Time{};
     const bool heard_lately =
         ever_heard && last_tick_ && peer.last_heard + periods * timings_.probe > *last_tick_;
     link = heard_lately ? Link::kOneWay : Link::kIndirect;
   } else if (peer.missed_probes > 0) {
-    return;  // too few to tell
+    return;  // too few missed probes to decide
   }
   if (std::exchange(peer.link, link) == link) return;
   changes_.push_back({name, peer.state, peer.state, peer.incarnation, link});
--- a/src/peers/failure_detector.hpp
+++ b/src/peers/failure_detector.hpp
@@ -1,22 +1,22 @@
-// Which members are alive: SWIM (Das, Gupta, Motivala 2002) with suspicion, and Lifeguard's local
-// health (Dadgar, Phillips, Currey 2017): a member that misses answers doubts itself before it
-// doubts others.
+// Failure detector for the members of the fleet: SWIM (Das, Gupta, Motivala 2002) with suspicion
+// and Lifeguard's local health score (Dadgar, Phillips, Currey 2017). A member that misses acks
+// extends its own time limits before it declares others dead.
 //
-// In each period of `probe` a member pings one other, in a random order in which each comes once a
-// round. Where no ack comes within `answer`, it asks proxies to ping the target for it. A target
-// that nobody reached by the end of the period is suspected, and declared dead after `suspicion`
-// unless it refutes that. Traffic per member does not grow with the fleet; updates on members ride
-// on the frames of probes.
+// In each period of length `probe`, a member pings one other member. The order is random, and each
+// member is pinged once a round. If no ack arrives within `answer`, the member requests proxies to
+// ping the target on its behalf. A target that nobody reached by the end of the period becomes a
+// suspect, and is declared dead after `suspicion` unless it refutes that. Traffic per member does
+// not grow with the size of the fleet, because updates on members are piggybacked on probe frames.
 //
-// A core: no I/O, no clock, no threads, one seed. It is fed frames and the time, and returns frames
-// to send and changes. One thread owns it.
+// Deterministic: no I/O, no clock, no threads, one random seed. The caller passes in received
+// frames and the time, and gets back frames to send and state changes. Owned by one thread.
 //
 // Invariants:
-// - A member's incarnation never runs backwards; an update of a lower one is ignored.
-// - Only the member itself raises its incarnation, to refute.
-// - An update that a member is dead only begins our own suspicion of it, or shortens that to
-//   `suspicion` after the last frame that we have received of the member.
-// - A process that was paused declares nobody dead for what it missed.
+// - A member's incarnation never decreases; an update with a lower one is ignored.
+// - Only the member itself raises its incarnation, in order to refute.
+// - An update that reports a member as dead only starts our own suspicion of that member, or
+//   shortens the suspicion so that it ends `suspicion` after the last frame received from it.
+// - A process that was paused declares no member dead for frames that it missed meanwhile.
 #ifndef BRASSFRONT_PEERS_FAILURE_DETECTOR_HPP_
 #define BRASSFRONT_PEERS_FAILURE_DETECTOR_HPP_
 
@@ -45,52 +45,54 @@
   struct Peer {
     State state = State::kUnknown;
     std::uint64_t incarnation = 0;
-    std::uint64_t identity = 0;         // of its folder; 0: no frame of it yet
-    std::uint64_t former_identity = 0;  // the one before
-    // Times that a frame of the former identity came again: two processes use the name.
+    std::uint64_t identity = 0;         // folder id; 0: no frame received yet
+    std::uint64_t former_identity = 0;  // the folder id before that
+    // Number of times that the former identity came back: two processes use the name.
     std::size_t identity_flips = 0;
     Link link = Link::kTwoWay;
-    Time last_heard{};              // when its last frame came to us
+    Time last_heard{};              // when we received its last frame
     Time suspicion_ends{};          // while suspected: when it is declared dead
-    std::size_t missed_probes = 0;  // direct probes in a row
+    std::size_t missed_probes = 0;  // consecutive direct probes
   };
 
-  // A state or a link that has changed, for the log and the other cores.
+  // A change of a peer's state or link, for the log and the other components.
   struct Change {
     std::string name;
     State from{}, to{};
     std::uint64_t incarnation = 0;
-    std::optional<Link> link{};  // if it is the link that changed
+    std::optional<Link> link{};  // set only if the link changed
   };
 
   struct Counts {
-    std::uint64_t probes = 0;                   // direct ones, one a period
+    std::uint64_t probes = 0;                   // direct probes, one per period
     std::uint64_t missed = 0;                   // probes that nobody answered
-    std::uint64_t indirect_probes = 0;          // probes for which proxies were asked
-    std::uint64_t refutations = 0;              // refutations of our own suspicion or death
-    std::uint64_t stale = 0;                    // frames of an older incarnation than we know
+    std::uint64_t indirect_probes = 0;          // probes for which proxies were requested
+    std::uint64_t refutations = 0;              // times that we refuted being suspect or dead
+    std::uint64_t stale = 0;                    // frames with an older incarnation than known
     std::uint64_t pauses = 0;                   // times that this process was paused
-    std::uint64_t bad = 0;                      // frames that could not be read
+    std::uint64_t bad = 0;                      // frames that could not be decoded
     std::uint64_t duplicate_sender_frames = 0;  // frames of a second process with a peer's name
   };
 
-  // `identity` and `process_incarnation` are those of this member's folder; `members` may contain
+  // `identity` and `process_incarnation` come from this member's folder. `members` may contain
   // `self`.
   FailureDetector(const Timings& timings, std::string self, const std::vector<std::string>& members,
                   std::uint64_t identity, std::uint64_t process_incarnation, std::uint64_t seed);
 
-  // Does what is due. To be called at Next() at the latest; a call that comes much later means that
-  // this process was paused.
+  // Does the work that is due. Must be called at Next() at the latest; a call that comes much later
+  // means that this process was paused.
   void Tick(Time now);
   [[nodiscard]] Time Next() const;
-  // A frame of a peer, its signature checked. Frames of other cores count as signs of life.
+  // Handles a frame from a peer; the caller has checked its signature. A frame of any kind shows
+  // that its sender is alive.
   void Receive(const Frame& frame, Time now);
-  // Announces that this process ends, so that others need not suspect it. Nothing is done after it.
+  // Announces that this process ends, so that other members need not suspect it. The detector does
+  // nothing afterwards.
   void Leave(Time now);
-  // The roster has changed.
+  // Replaces the members after a change of the roster.
   void SetMembers(const std::vector<std::string>& members);
 
-  // Each call returns a frame or a change once, in order.
+  // Return the frames to send, or the changes, in order, and clear the list.
   std::vector<Frame> TakeFrames() { return std::exchange(frames_, {}); }
   std::vector<Change> TakeChanges() { return std::exchange(changes_, {}); }
 
@@ -98,33 +100,34 @@
   [[nodiscard]] const Counts& counts() const { return counts_; }
   [[nodiscard]] std::uint64_t incarnation() const { return incarnation_; }
   [[nodiscard]] std::uint64_t identity() const { return identity_; }
-  // Lifeguard's local health score, 0 (healthy) to 8: our own time limits are (1 + score) times as
-  // long.
+  // Lifeguard's local health score, 0 (healthy) to 8. This member's own time limits are multiplied
+  // by (1 + score).
   [[nodiscard]] std::size_t local_health_score() const { return local_health_.score(); }
-  // Others remember a later process incarnation of ours than our folder does: it is an old copy, or
-  // was lost.
+  // Other members know a later process incarnation of this member than its folder contains: the
+  // folder is an old copy, or the original was lost.
   [[nodiscard]] bool folder_is_stale() const { return folder_is_stale_; }
-  // Peers that have acknowledged a probe since our start, and so have told what they know of us.
+  // Number of peers that have acknowledged a probe since our start, and thereby have sent what they
+  // know about this member.
   [[nodiscard]] std::size_t answered_by() const { return answered_by_.size(); }
 
  private:
-  // Our probe of this period.
+  // This member's own probe in the current period.
   struct DirectProbe {
     std::string target;
     std::uint32_t sequence = 0;
-    Time request_indirect_at{};  // without an ack until then, proxies are asked
+    Time request_indirect_at{};  // proxies are requested if no ack has arrived by then
     Time ends{};
     bool indirect_requested = false;
-    bool answered = false;  // by the target or by way of a proxy
+    bool answered = false;  // by the target, directly or by way of a proxy
     bool answered_directly = false;
-    std::size_t proxies = 0;        // asked
-    std::size_t proxies_heard = 0;  // that have confirmed it
+    std::size_t proxies = 0;        // proxies that were requested to probe
+    std::size_t proxies_heard = 0;  // proxies that confirmed the request
   };
-  // A probe that we do as a proxy.
+  // A probe that this member does as a proxy.
   struct IndirectProbe {
-    std::uint32_t sequence = 0;  // of our ping
+    std::uint32_t sequence = 0;  // of our ping to the target
     std::string requester;
-    std::uint32_t requester_sequence = 0;  // of its ping-req
+    std::uint32_t requester_sequence = 0;  // of the requester's ping-req
     Time ends{};
   };
 
@@ -162,7 +165,7 @@
   void ApplyLeft(const GossipUpdate& update, Peer& peer);
   void Disseminate(const std::string& name) { gossip_.Disseminate(name, peers_.size() + 1); }
 
-  // ---- what is believed of a peer ----
+  // ---- state of a peer ----
   void Suspect(const std::string& name, Peer& peer, Time now);
   void SetState(const std::string& name, Peer& peer, State state, std::uint64_t incarnation);
   void UpdateLink(const std::string& name, Peer& peer);
@@ -173,7 +176,7 @@
   std::uint64_t incarnation_;
   Random random_;
   std::map<std::string, Peer> peers_;
-  std::set<std::string> suspects_;  // the peers in kSuspect
+  std::set<std::string> suspects_;  // the peers in the state kSuspect
   GossipQueue gossip_;
   ProbeRound probe_round_;
   std::optional<DirectProbe> probe_;
--- a/src/peers/file_descriptor.hpp
+++ b/src/peers/file_descriptor.hpp
@@ -1,4 +1,4 @@
-// An owned file descriptor: closed when its owner ends.
+// RAII wrapper of a file descriptor, which is closed on destruction.
 #ifndef BRASSFRONT_PEERS_FILE_DESCRIPTOR_HPP_
 #define BRASSFRONT_PEERS_FILE_DESCRIPTOR_HPP_
 
@@ -8,7 +8,7 @@
 
 namespace brassfront::peers {
 
-// Movable, not copyable. What open() returned is passed in, -1 included.
+// Movable, not copyable. Takes the result of open(), including -1.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
--- a/src/peers/gossip_queue.cpp
+++ b/src/peers/gossip_queue.cpp
@@ -7,8 +7,8 @@
 namespace brassfront::peers {
 namespace {
 
-// SWIM's lambda: a member is told of so often, times log2 of the fleet's size. More would tolerate
-// more loss, and would keep old news in frames for longer.
+// SWIM's lambda: each update is sent this many times log2 of the fleet's size. A higher factor
+// would tolerate more packet loss, but keep old updates in frames for longer.
 constexpr std::size_t kRetransmitFactor = 3;
 
 }  // namespace
--- a/src/peers/gossip_queue.hpp
+++ b/src/peers/gossip_queue.hpp
@@ -1,9 +1,9 @@
-// Which members' states are still to be told to others, and how often: SWIM's infection-style
-// dissemination. A news item rides on the frames that are sent anyway, those told least often
-// first, until it has been sent a number of times that grows with the logarithm of the fleet's
-// size.
+// The members whose states must still be sent to others, and how many times: SWIM's infection-style
+// dissemination. Updates are piggybacked on frames that are sent anyway, those sent least often
+// first. The number of times that an update is sent grows with the logarithm of the fleet's size.
 //
-// Holds names only; what is told of a name is its state at the time of sending. One thread owns it.
+// The queue holds names only; the state that is sent is the one at the time of sending. Owned by
+// one thread.
 #ifndef BRASSFRONT_PEERS_GOSSIP_QUEUE_HPP_
 #define BRASSFRONT_PEERS_GOSSIP_QUEUE_HPP_
 
@@ -17,14 +17,14 @@
 
 class GossipQueue {
  public:
-  // Tells of the member again, as often as a fleet of `fleet_size` needs.
+  // Restarts the dissemination of the member's state in a fleet of `fleet_size` members.
   void Disseminate(const std::string& name, std::size_t fleet_size);
-  // Tells of the member once.
+  // Sends the member's state once more only.
   void DisseminateOnce(const std::string& name) { transmissions_left_[name] = 1; }
-  // Forgets all others.
+  // Removes all members that are not in `names`.
   void Retain(const std::set<std::string>& names);
-  // At most `max_count` names for a frame to `receiver`, whom its own state is not told here.
-  // Counts each as sent once.
+  // Returns at most `max_count` names for a frame to `receiver`, and counts each as sent once. The
+  // receiver's own name is not among them.
   [[nodiscard]] std::vector<std::string> TakeFor(const std::string& receiver,
                                                  std::size_t max_count);
 
--- a/src/peers/probe_round.hpp
+++ b/src/peers/probe_round.hpp
@@ -1,5 +1,5 @@
-// SWIM's order of probes: the members in a random order, each once a round, so that the time to the
-// next probe of one is bounded by two rounds.
+// SWIM's probe order: the members in a random order, each once a round, so that at most two rounds
+// pass between two probes of the same member.
 #ifndef BRASSFRONT_PEERS_PROBE_ROUND_HPP_
 #define BRASSFRONT_PEERS_PROBE_ROUND_HPP_
 
@@ -14,15 +14,16 @@
 
 class ProbeRound {
  public:
-  // The members have changed: a new round begins with the next probe.
+  // Starts a new round with the next probe, after the members have changed.
   void Restart() { remaining_.clear(); }
 
-  // The next member for which `eligible(name)` holds, or nothing if there is none. `members` is a
-  // range of pairs with the name first; its order and `random` determine the round's.
+  // Returns the next member for which `eligible(name)` is true, or nullopt if there is none.
+  // `members` is a range of pairs with the name first; its order and `random` determine the order
+  // of the round.
   template <typename Members, typename Predicate>
   std::optional<std::string> Next(const Members& members, Random& random,
                                   const Predicate& eligible) {
-    // The rest of this round, then one whole round.
+    // The remaining members of this round, then one complete round.
     for (int round = 0; round < 2; ++round) {
       while (!remaining_.empty()) {
         std::string name = std::move(remaining_.back());
@@ -36,14 +37,14 @@
   }
 
  private:
-  // Fisher and Yates, from the end.
+  // Fisher-Yates shuffle.
   void Shuffle(Random& random) {
     for (std::size_t i = remaining_.size(); i > 1; --i) {
       std::swap(remaining_[i - 1], remaining_[random.Below(i)]);
     }
   }
 
-  std::vector<std::string> remaining_;  // of this round, the next one at the end
+  std::vector<std::string> remaining_;  // members left in this round; the last one is next
 };
 
 }  // namespace brassfront::peers
--- a/src/peers/random.hpp
+++ b/src/peers/random.hpp
@@ -1,5 +1,5 @@
-// Pseudo-random numbers from a seed alone (SplitMix64; Steele, Lea, Flood 2014): the same sequence
-// on every machine and with every standard library. Not for secrets.
+// Pseudo-random numbers that depend only on a seed (SplitMix64; Steele, Lea, Flood 2014): the same
+// sequence on every machine and with every standard library. Not for secrets.
 #ifndef BRASSFRONT_PEERS_RANDOM_HPP_
 #define BRASSFRONT_PEERS_RANDOM_HPP_
 
@@ -11,8 +11,8 @@
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
 
-  // From 0 to bound - 1; `bound` is not 0. The bias of the remainder is negligible for bounds of a
-  // fleet's size.
+  // Returns a number from 0 to bound - 1; `bound` must not be 0. The modulo bias is negligible for
+  // bounds of the size of a fleet.
   [[nodiscard]] std::uint64_t Below(std::uint64_t bound) {
     std::uint64_t mixed = state_ += 0x9E3779B97F4A7C15;
     mixed = (mixed ^ (mixed >> 30)) * 0xBF58476D1CE4E5B9;
--- a/src/peers/roster.hpp
+++ b/src/peers/roster.hpp
@@ -1,5 +1,6 @@
-// Who is in the fleet, and its settings: an operator file (typed records), the same for all
-// members. docs/fleet.md says what each field does. In it a zone is called `hall`.
+// The roster: the members of the fleet and its settings. Operators write it as a file of typed
+// records, which is the same for all members. docs/fleet.md describes each field. The file calls a
+// zone `hall`.
 #ifndef BRASSFRONT_PEERS_ROSTER_HPP_
 #define BRASSFRONT_PEERS_ROSTER_HPP_
 
@@ -15,41 +16,41 @@
 
 using Time = std::chrono::nanoseconds;  // on the member's own monotonic clock
 
-inline constexpr std::size_t kMaxMembers = 300;  // what the bounds are measured with
-// Three voters are the fewest that survive the loss of one; with more than seven each command waits
-// for more disks and tolerates no failure that is likely.
+inline constexpr std::size_t kMaxMembers = 300;  // the fleet's time bounds hold up to this size
+// Three is the smallest number of voters that tolerates the loss of one. With more than seven, each
+// command waits for more disks, and the additional failures tolerated are unlikely ones.
 inline constexpr std::size_t kMinVoters = 3, kMaxVoters = 7;
 inline constexpr std::size_t kMinSecretBytes = 16;  // of the fleet's HMAC key
 
 struct Member {
   std::string name;
   std::string zone;
-  std::string address;  // IPv4:PORT, of its datagrams
+  std::string address;  // IPv4:PORT that receives its datagrams
   bool voter = false;   // of the replicated log
 
   bool operator==(const Member&) const = default;
 };
 
 struct Timings {
-  Time probe{};      // a period of the failure detector
-  Time answer{};     // without an ack, until proxies are asked to probe
-  Time suspicion{};  // from suspect to dead, unless that is refuted
-  Time heartbeat{};  // of the Raft leader
-  Time election{};   // without a heartbeat until a voter starts an election, at least
-  Time drain{};      // of a machine, until its maintenance counts as failed
-  Time back{};       // of a machine that returns, likewise
+  Time probe{};      // period of the failure detector
+  Time answer{};     // time without an ack after which proxies are requested to probe
+  Time suspicion{};  // time from suspect to dead, unless the member refutes it
+  Time heartbeat{};  // interval of the Raft leader's heartbeats
+  Time election{};   // minimum time without a heartbeat before a voter starts an election
+  Time drain{};      // deadline for a machine to drain, after which its maintenance has failed
+  Time back{};       // deadline for a returning machine to serve again
 
   bool operator==(const Timings&) const = default;
 };
 
-// What forwarders share of rate limits and endpoint health.
+// Settings for rate limits and health reports that forwarders share.
 struct Sharing {
   bool limits = false, verdicts = false;
-  Time term{};                             // of a lease
-  double drift{};                          // relative, of two members' clocks
-  double floor{};                          // share of a limit that is reserved in even parts
-  Time burst{};                            // of a member's rate, what may come at once
-  bool told{};                             // limits that endpoints report are shared as well
+  Time term{};                             // duration of a lease
+  double drift{};                          // maximum relative drift between two members' clocks
+  double floor{};                          // share of a limit that is reserved evenly for members
+  Time burst{};                            // a member may start this time's worth of calls at once
+  bool told{};                             // whether limits that endpoints report are shared too
   Time kept{};                             // lifetime of a health report
   std::map<std::uint64_t, double> listed;  // limits in calls a second, by destination
 
@@ -64,21 +65,22 @@
   Timings timings;
   Sharing sharing;
 
-  // Null if there is no such member.
+  // Returns nullptr if there is no such member.
   [[nodiscard]] const Member* Find(std::string_view name) const;
-  // Their names, in the order of the file.
+  // The names of the voters, in the order of the file.
   [[nodiscard]] std::vector<std::string> Voters() const;
 };
 
-// The grammar of the file (src/records).
+// The schema of the roster file (src/records).
 [[nodiscard]] std::string_view RosterSchema();
 
-// Throws records::BadRecords with all that is wrong. The key file is read as well; its path starts
-// at the roster's folder, and nobody but its owner may be able to read it.
+// Reads the roster file and the key file that it names. The path of the key file is relative to the
+// roster's folder, and only its owner may have access to it. Throws records::BadRecords with all
+// faults found.
 [[nodiscard]] Roster LoadRoster(const std::string& path);
 
-// Why a running fleet cannot take up the next roster; empty if it can. Allowed is one member added,
-// removed or changed, or a change of limits and timings alone.
+// Explains why a running fleet cannot adopt the next roster; empty if it can. Either one member may
+// be added, removed or changed, or only limits and timings may change.
 [[nodiscard]] std::string ChangeFault(const Roster& now, const Roster& next);
 
 }  // namespace brassfront::peers
--- a/src/peers/roster_change.cpp
+++ b/src/peers/roster_change.cpp
@@ -1,4 +1,4 @@
-// Which changes of a roster a running fleet can take up: one member at a time, as a Raft
+// Checks whether a running fleet can adopt a changed roster: one member at a time, as a Raft
 // configuration changes one server at a time.
 #include <iterator>
 #include <map>
@@ -19,7 +19,7 @@
   return by_name;
 }
 
-// Those that are in one roster alone, or differ, in the order of their names.
+// Names of the members that are in only one of the rosters or that differ.
 std::set<std::string> FindChangedMembers(const Roster& now, const Roster& next) {
   const MembersByName old_members = IndexByName(now.members);
   const MembersByName new_members = IndexByName(next.members);
@@ -42,8 +42,9 @@
 }  // namespace
 
 std::string ChangeFault(const Roster& now, const Roster& next) {
-  if (now.fleet != next.fleet) return "the fleet has another name";
-  if (now.secret != next.secret) return "the key is another one; it is taken up by a restart only";
+  if (now.fleet != next.fleet) return "the fleet's name differs";
+  if (now.secret != next.secret)
+    return "the key differs; a new key takes effect only after a restart";
   const std::set<std::string> changed = FindChangedMembers(now, next);
   if (changed.empty()) return "";
   const std::string& first = *changed.begin();
@@ -51,7 +52,7 @@
     const std::string& second = *std::next(changed.begin());
     return "more than one member changes (" + first + " and " + second + ")";
   }
-  if (SettingsDiffer(now, next)) return first + " changes, and limits or timings as well";
+  if (SettingsDiffer(now, next)) return first + " changes together with limits or timings";
   return "";
 }
 
--- a/src/peers/roster_reader.cpp
+++ b/src/peers/roster_reader.cpp
@@ -1,5 +1,5 @@
-// Reads a roster file: the schema checks each field, this file what no schema can say. All faults
-// of a file are collected, each with its place, before any is thrown.
+// Reads a roster file. The schema checks each field, and this file checks what a schema cannot
+// express. All faults of a file are collected, each with its position, before they are thrown.
 #include <sys/stat.h>
 
 #include <algorithm>
@@ -23,15 +23,18 @@
 using records::Record;
 
 constexpr std::size_t kMaxNameBytes = 32;
-// Voters that are chosen where the file names none, if there are so many members.
+// Number of voters if the file names none, provided that there are so many members.
 constexpr std::size_t kDefaultVoters = 5;
-// A member that is cut off serves its floor alone: under a call in 20 s it would serve nobody.
+// Minimum reserved rate of a member: a disconnected member has only this rate, and with less than
+// one call in 20 s it would be useless.
 constexpr double kMinFloorCallsPerSecond = 0.05;
-// A lease is renewed four times in its term, and a round to the leader has to fit in between.
+// Minimum lease term in heartbeats: a lease is renewed four times in its term, and a round trip to
+// the leader must fit between two renewals.
 constexpr int kHeartbeatsPerLease = 4;
-// Lost heartbeats that must not start an election.
+// Minimum election timeout in heartbeats, so that a few lost heartbeats do not start an election.
 constexpr int kHeartbeatsPerElection = 3;
-// A suspect needs a period to hear of it, and one to be heard.
+// Minimum suspicion time in periods: a suspect needs one period to learn of the suspicion and one
+// for its refutation to arrive.
 constexpr int kPeriodsPerSuspicion = 2;
 constexpr mode_t kGroupAndOthers = 077;
 
@@ -157,7 +160,8 @@
     sharing.told = from.At("told").Bool();
     sharing.kept = from.At("kept").Duration();
     if (sharing.term < kHeartbeatsPerLease * roster.timings.heartbeat) {
-      Complain(from.At("term"), "expected at least four times heartbeat, or leases end unrenewed");
+      Complain(from.At("term"),
+               "expected at least four times heartbeat, or leases expire before renewal");
     }
     for (const Record& limit : from.At("listed").Items()) ReadListedLimit(limit, roster);
   }
@@ -183,7 +187,8 @@
       return Complain(root_.At("members"), "a fleet has 3 members at least");
     }
     if (named == 0) {
-      // An odd number: an even one has no majority on either side of a split in halves.
+      // An odd number, because after a split into halves of an even number neither side has a
+      // majority.
       const std::size_t count =
           roster.members.size() < kDefaultVoters ? kMinVoters : kDefaultVoters;
       for (std::size_t i = 0; i < count; ++i) roster.members[i].voter = true;
--- a/src/peers/roster_schema.cpp
+++ b/src/peers/roster_schema.cpp
@@ -1,4 +1,4 @@
-// The grammar of a roster file: types, bounds and defaults of its fields.
+// The schema of a roster file: types, bounds and defaults of its fields.
 #include "peers/roster.hpp"
 
 namespace brassfront::peers {
--- a/src/peers/swim_messages.cpp
+++ b/src/peers/swim_messages.cpp
@@ -8,7 +8,7 @@
 namespace brassfront::peers {
 namespace {
 
-// The fields before the updates, in their order.
+// Encode and decode the fields that precede the updates, in wire order.
 void EncodeFields(Writer& out, const Ping& ping) { out.U32(ping.sequence); }
 void EncodeFields(Writer& out, const Ack& ack) { out.U32(ack.sequence).Name(ack.subject); }
 void EncodeFields(Writer& out, const PingRequest& request) {
--- a/src/peers/swim_messages.hpp
+++ b/src/peers/swim_messages.hpp
@@ -1,12 +1,12 @@
-// The bodies of the failure detector's frames: SWIM's ping, ack and ping-req, each with gossip
-// updates behind it.
+// Codec of the failure detector's frame bodies: SWIM's ping, ack and ping-req, each followed by
+// gossip updates.
 //
 //   ping      sequence u32                  | updates
 //   ack       sequence u32 | subject name   | updates
 //   ping-req  sequence u32 | target name    | updates
-//   updates   count u8 | of each: member name, state u8, incarnation u64
+//   updates   count u8 | for each: member name, state u8, incarnation u64
 //
-// Numbers are in network order, names have their length before them (peers/bytes.hpp). The
+// Numbers are in network byte order, and each name is preceded by its length (peers/bytes.hpp). The
 // functions keep no state; any thread may call them.
 #ifndef BRASSFRONT_PEERS_SWIM_MESSAGES_HPP_
 #define BRASSFRONT_PEERS_SWIM_MESSAGES_HPP_
@@ -24,30 +24,30 @@
 
 namespace brassfront::peers {
 
-// Keeps a frame with the longest names (32 bytes) at 530 bytes, below any path's MTU.
+// Limits a frame with the longest names (32 bytes) to 530 bytes, which is below any path's MTU.
 inline constexpr std::size_t kMaxUpdatesPerFrame = 8;
 
-// What one member tells another about a third, about itself, or about the receiver.
+// The state of one member as known to the sender: a third member, the sender or the receiver.
 struct GossipUpdate {
   std::string name;
   State state{};
   std::uint64_t incarnation = 0;
 };
 
-// Asks the receiver for an ack with the same sequence number.
+// Requests an ack with the same sequence number.
 struct Ping {
   std::uint32_t sequence = 0;
 };
 
-// Answers a ping or a ping-req. `subject` is the member that has answered: empty for the sender's
-// own answer to a ping; the target's name where a proxy passes its ack on; the sender's own name
-// where a proxy confirms that it has taken a ping-req.
+// Acknowledges a ping or a ping-req. `subject` is empty when the sender answers a ping itself, the
+// target's name when a proxy forwards the target's ack, and the sender's own name when a proxy
+// confirms that it accepted a ping-req.
 struct Ack {
   std::uint32_t sequence = 0;
   std::string subject;
 };
 
-// Asks the receiver, a proxy, to probe the target.
+// Requests the receiver, a proxy, to probe the target.
 struct PingRequest {
   std::uint32_t sequence = 0;
   std::string target;
@@ -57,16 +57,16 @@
 
 struct DecodedSwimMessage {
   SwimMessage message;
-  std::vector<GossipUpdate> updates;  // those with a state that there is
+  std::vector<GossipUpdate> updates;  // only those with a valid state
 };
 
-// The frame's kind says which message it holds.
+// The kind of a frame determines the type of its message.
 [[nodiscard]] bool IsSwimKind(Kind kind);
 [[nodiscard]] Kind GetKind(const SwimMessage& message);
 
 [[nodiscard]] std::string EncodeSwimMessage(const SwimMessage& message,
                                             const std::vector<GossipUpdate>& updates);
-// Nothing if the body is not exactly one message of that kind, which must be a SWIM kind.
+// Returns nullopt if the body is not exactly one message of `kind`, which must be a SWIM kind.
 [[nodiscard]] std::optional<DecodedSwimMessage> DecodeSwimMessage(Kind kind, std::string_view body);
 
 }  // namespace brassfront::peers
--- a/src/quota/lease_grantor.cpp
+++ b/src/quota/lease_grantor.cpp
@@ -7,9 +7,10 @@
 namespace brassfront::quota {
 namespace {
 
-// Answers remembered of each holder, to date its next request by the answer that it names.
+// Answers remembered for each holder, to look up when the answer that a request names was given.
 constexpr std::size_t kMaxRememberedAnswers = 8;
-// From this many reports on the second lowest counts, so that one wrong report moves nothing.
+// With at least this many reports the second lowest is used, so that one wrong report has no
+// effect.
 constexpr std::size_t kReportQuorum = 3;
 
 }  // namespace
@@ -28,9 +29,9 @@
   return sum;
 }
 
-// The second lowest of the limits that members report; the lower of two, or the only one. With
-// three reporters neither a report of nothing nor one of a million moves it. Never above a listed
-// limit.
+// Returns the second lowest of the limits that members report, or with fewer than three reports the
+// lowest. With three reporters, neither a report of almost zero nor one of a million has an effect.
+// The result never exceeds a listed limit.
 double LeaseGrantor::AgreedLimit(const std::string& key, Limit& limit, Time now) const {
   std::erase_if(limit.reported, [&](const auto& c) {
     return now - c.second.at > settings_.ReportedLimitLifetime();
@@ -51,8 +52,8 @@
   return sum;
 }
 
-// Max-min fair over the demands above the reserved minimum: small demands are met in full, the
-// others share the rest evenly.
+// Max-min fair share over the demands above the reserved minimum: small demands are met in full,
+// the others share the remainder evenly.
 double LeaseGrantor::FairShare(const Limit& limit, const std::string& holder, double pool,
                                double floor, Time now) const {
   std::vector<double> wants;
@@ -75,7 +76,7 @@
 std::optional<LeaseGrant> LeaseGrantor::Answer(const std::string& holder,
                                                const LeaseRequestBatch& request, Time now) {
   if (!leading_since_) return std::nullopt;
-  // A delayed duplicate knows nothing of what the holder keeps now.
+  // A delayed or duplicate request does not show what the holder keeps now.
   RequestHistory& history = histories_[holder];
   if (request.number <= history.number) return std::nullopt;
   const std::optional<Time> lent_since = history.AnsweredAt(request.last_answered);
@@ -87,7 +88,7 @@
     if (!limits_.contains(key) && limits_.size() >= kMaxKeysPerMessage) continue;
     grant.parts[key] = GrantShare(key, holder, wanted, lent_since, grant.leases, now);
   }
-  // Limits that the holder does not use are listed as well, so that it lends their reserves.
+  // Limits that the holder does not use are included too, so that it lends its reserves of them.
   for (const auto& [key, limit] : limits_) {
     if (limit.limit > 0 && grant.parts.size() < kMaxKeysPerMessage) {
       grant.parts.try_emplace(key, GrantedLease{limit.limit, 0});
@@ -106,7 +107,8 @@
   granted.limit = limit.limit = AgreedLimit(key, limit, now);
   limit.lent[holder] = {wanted.lend,
                         lent_since ? *lent_since + settings_.LentQuotaLifetime() : Time{}};
-  // What the holder keeps stays booked until its lease has expired, whatever is granted now.
+  // The amount that the holder keeps stays reserved until its lease has expired, whatever is
+  // granted now.
   Lease& lease = limit.leases[holder];
   lease.amount = now < lease.ends ? std::min(lease.amount, wanted.keep) : 0;
   if (!may_lease || granted.limit <= 0) return granted;
--- a/src/quota/lease_holder.cpp
+++ b/src/quota/lease_holder.cpp
@@ -9,32 +9,33 @@
 // Time constant of the demand estimate, in seconds: shorter than a lease's term, so that a request
 // reflects current traffic; longer than the interval between requests.
 constexpr double kDemandDecaySeconds = 1.5;
-// A rate is published again after it has changed by this share.
+// A rate is published again after it has changed by this fraction.
 constexpr double kPublishedChange = 0.1;
-// Requested as a multiple of the demand: pacing at barely more than the demand would build queues.
-// Where all request more than there is, the grantor shares it out fairly.
+// The requested rate as a multiple of the demand: with barely more than the demand, queues would
+// build up. If the requests exceed the limit, the grantor divides it fairly.
 constexpr double kDemandHeadroom = 2;
-// Retained of a lent reserve, as a multiple of the demand.
+// The part of a lent reserve that is retained, as a multiple of the demand.
 constexpr double kRetainedHeadroom = 1.25;
-// Requested even without demand, in calls a second, up to the reserve.
+// Requested in addition to the demand, even if that is 0, in calls a second; at most the reserve.
 constexpr double kMinRequestedRate = 0.5;
-// From this share of the usable rate on a holder counts as saturated, and may have a backlog;
-// it then requests kSaturatedGrowth times what it uses.
+// A holder that uses at least this fraction of its usable rate counts as saturated and may have a
+// backlog; it then requests kSaturatedGrowth times the rate that it uses.
 constexpr double kSaturation = 0.75;
 constexpr double kSaturatedGrowth = 1.6;
-// The largest share of the reserve that is lent: the rest lets a first call start at once.
+// The largest fraction of the reserve that is lent; the remainder lets a first call start at once.
 constexpr double kMaxLentShare = 0.9;
-// Demand beyond the usable rate brings the next request forward to this part of the interval.
+// If demand exceeds the usable rate, the next request is sent after the request interval divided by
+// this number.
 constexpr int kEarlyRequestDivisor = 4;
 
-// A rate counted until `at`, with exponential decay since then.
+// A rate that was estimated at the time `at`, with exponential decay since then.
 double Decayed(double rate, Time at, Time now) {
   return rate * std::exp(-SecondsOf(now - at) / kDemandDecaySeconds);
 }
 
 }  // namespace
 
-// Listed limits have a share from the start, so that an idle member lends its reserve.
+// Creates a share for each listed limit at once, so that an idle member lends its reserve.
 LeaseHolder::LeaseHolder(LeaseSettings settings) : settings_(std::move(settings)) {
   for (const auto& [key, limit] : settings_.listed) shares_[key].limit = limit;
 }
@@ -50,7 +51,7 @@
   return it->second;
 }
 
-// A limit reported to our own calls lowers the rate at once; only a grant raises it.
+// A limit reported in responses to our own calls lowers the rate at once; only a grant raises it.
 double LeaseHolder::EffectiveLimit(const Share& share, Time now) const {
   const bool fresh =
       share.reported > 0 &&
@@ -59,7 +60,7 @@
   return share.limit > 0 ? std::min(share.limit, share.reported) : share.reported;
 }
 
-// A lease that was granted under a higher limit than now reported is scaled down with it.
+// A lease that was granted under a higher limit than is reported now is scaled down in proportion.
 double LeaseHolder::EffectiveLease(const Share& share, Time now) const {
   if (now >= share.ends || share.limit <= 0) return 0;
   return share.lease * EffectiveLimit(share, now) / share.limit;
@@ -69,7 +70,8 @@
   return Decayed(share.demand, share.demand_at, now);
 }
 
-// The demand with headroom; more if the usable rate is used up, since a backlog adds no demand.
+// The demand with headroom; more if the usable rate is nearly used up, since a backlog does not
+// count as demand.
 double LeaseHolder::RequestedRate(const Share& share, Time now) const {
   const double with_headroom = CurrentDemand(share, now) * kDemandHeadroom;
   const double used = Decayed(share.used, share.used_at, now);
@@ -78,7 +80,8 @@
                                    : std::max(with_headroom, kSaturatedGrowth * used);
 }
 
-// Demand beyond the usable rate (a lent reserve, a small lease) brings the next request forward.
+// Demand beyond the usable rate (because the reserve is lent or the lease is small) brings the next
+// request forward.
 void LeaseHolder::OnDemand(const std::string& key, Time now) {
   Share& share = ShareFor(key, now);
   share.demand = CurrentDemand(share, now) + 1 / kDemandDecaySeconds;
@@ -101,11 +104,12 @@
   return UsableReserve(it->second, now) + EffectiveLease(it->second, now);
 }
 
-// The lease counts until it expires and no longer, however late this is called: a process that was
-// suspended past the expiry accumulates no tokens from it.
+// Adds tokens for the time since the last refill. The lease yields tokens only until it expires,
+// however late this is called, so a process that was suspended past the expiry gains none from it
+// afterwards.
 void LeaseHolder::Refill(Share& share, Time now) const {
-  const double reserve = UsableReserve(
-      share, share.tokens_at);  // as of the last refill: a cool-down may have ended since
+  // Uses the reserve as of the last refill, because a cool-down may have ended since then.
+  const double reserve = UsableReserve(share, share.tokens_at);
   const Time leased = std::max(Time{}, std::min(now, share.ends) - share.tokens_at);
   const double lease = share.limit > 0 ? share.lease * EffectiveLimit(share, now) / share.limit : 0;
   share.tokens += reserve * SecondsOf(now - share.tokens_at) + lease * SecondsOf(leased);
@@ -151,7 +155,8 @@
   return request;
 }
 
-// What is not needed is given back: from now on no more is used than the request says.
+// Gives back the part of the lease that is not needed: from now on, at most the amount that the
+// request keeps is used.
 LeaseRequest LeaseHolder::RenewShare(Share& share, Time now) const {
   LeaseRequest request;
   const double reserve = settings_.FloorOf(EffectiveLimit(share, now));
@@ -166,19 +171,19 @@
       std::max(kRetainedHeadroom * CurrentDemand(share, now), (1 - kMaxLentShare) * reserve);
   request.lend = std::max(0.0, reserve - retained);
   std::erase_if(share.lent, [&](const LentQuota& lent) { return now >= lent.until; });
-  // Unused for the whole cool-down, whether the grantor lends it to anyone or not.
+  // The lent part stays unused for the complete cool-down, whether or not the grantor lends it.
   if (request.lend > 0) share.lent.push_back({request.lend, now + settings_.LeaseCoolDown()});
   return request;
 }
 
-// The answer to an older request knows nothing of what a later one promised to keep.
+// The answer to an older request does not take into account what a later request promised to keep.
 void LeaseHolder::ApplyGrant(const LeaseGrant& grant, Time now) {
   if (grant.number != last_request_number_) return;
   last_answered_ = grant.number;
   for (const auto& [key, part] : grant.parts) {
     Share& share = ShareFor(key, now);
     Refill(share, now);
-    // Without new leases a current one stays valid under its own limit.
+    // If the grant contains no leases, a current lease stays valid under its own limit.
     if (!grant.leases && now < share.ends) continue;
     share.limit = part.limit;
     if (!grant.leases) continue;
--- a/src/quota/lease_settings.hpp
+++ b/src/quota/lease_settings.hpp
@@ -1,4 +1,4 @@
-// The settings of fleet-wide limits, and the timing bounds that follow from them. No I/O, no clock.
+// Settings of fleet-wide limits, and the timing bounds derived from them. No I/O, no clock.
 #ifndef BRASSFRONT_QUOTA_LEASE_SETTINGS_HPP_
 #define BRASSFRONT_QUOTA_LEASE_SETTINGS_HPP_
 
@@ -19,34 +19,35 @@
   return std::chrono::duration_cast<Time>(std::chrono::duration<double>(seconds));
 }
 
-// Settings of leases, the same on every member. docs/design/quota.md derives the bounds.
+// Settings of leases; the same on every member. docs/design/quota.md derives the bounds.
 struct LeaseSettings {
-  Time term{};          // of a lease, from the moment its request is written
+  Time term{};          // duration of a lease, from the moment its request is written
   double drift = 0.01;  // clock drift bound: the largest relative error of a member's clock
-  double floor = 0.2;   // share of each limit that is reserved, evenly among the members
-  Time burst{};         // a member may start what its rate yields in this time at once
-  Time election{};      // election timeout of the replicated log, whose leader grants
+  double floor = 0.2;   // fraction of each limit that is reserved, evenly among the members
+  Time burst{};         // a member may start at once the calls that its rate allows in this time
+  Time election{};      // election timeout of the replicated log, whose leader grants leases
   std::size_t members = 1;
   bool reported = true;                    // whether limits that endpoints report apply as well
   std::map<std::string, double> listed{};  // calls a second, by key, from the operator's file
 
-  // Interval of lease requests: a lease outlives two that are lost.
+  // Interval of lease requests; a lease survives the loss of two requests.
   [[nodiscard]] Time Renew() const { return term / 4; }
-  // How long a limit from a response counts: a member that calls seldom knows only an old one.
+  // How long a reported limit is valid. A member that makes few calls may only know an old one.
   [[nodiscard]] Time ReportedLimitLifetime() const { return 2 * term; }
-  // A new grantor grants nothing for this time: a former leader grants for two elections without a
-  // majority at most, and its last lease has expired a term later, on any member's clock.
+  // A new grantor grants nothing for this time. A former leader without a majority grants leases
+  // for at most two election timeouts, and its last lease has expired one term later on any
+  // member's clock.
   [[nodiscard]] Time QuietTime() const { return Stretched(term + 2 * election); }
-  // Lent quota is granted for LentQuotaLifetime after the answer that the lender names. The lender
-  // leaves it unused for LeaseCoolDown after each request that lends it: until every lease granted
-  // from it has expired, on any member's clock.
+  // Leases are granted from lent quota for LentQuotaLifetime after the answer that the lender's
+  // request names. The lender leaves the quota unused for LeaseCoolDown after each request that
+  // lends it. By then every lease granted from it has expired on any member's clock.
   [[nodiscard]] Time LentQuotaLifetime() const { return Shortened(term); }
   [[nodiscard]] Time LeaseCoolDown() const { return Stretched(Stretched(2 * term)); }
-  // The longest time on any member's clock for this time on another's.
+  // The longest time that may pass on any member's clock while `time` passes on another's.
   [[nodiscard]] Time Stretched(Time time) const {
     return FromSeconds(SecondsOf(time) * (1 + drift));
   }
-  // A time that, once passed on the own clock, has not yet passed on any other.
+  // A time that, once it has passed on this member's clock, is not more than `time` on any other's.
   [[nodiscard]] Time Shortened(Time time) const {
     return FromSeconds(SecondsOf(time) * (1 - drift));
   }
@@ -54,7 +55,7 @@
   [[nodiscard]] double FloorOf(double limit) const {
     return limit * floor / static_cast<double>(members);
   }
-  // Calls that a member with this rate may start at once: one at least.
+  // Number of calls that a member with this rate may start at once, at least one.
   [[nodiscard]] double MaxBurst(double rate) const {
     const double calls = rate * SecondsOf(burst);
     return calls > 1 ? calls : 1;
@@ -62,18 +63,19 @@
 
   // ---- bounds; docs/design/quota.md derives them ----
 
-  // Upper bound of the calls above limit x window, in any window, while the limit is unchanged:
-  // with links connected or cut, members suspended, ended or resumed.
+  // Upper bound of the calls in excess of limit x window, in any time window, while the limit is
+  // unchanged. It holds also if links are cut and members are suspended, resumed or ended.
   [[nodiscard]] double MaxExcessCalls(double limit) const {
     return static_cast<double>(members) + limit * SecondsOf(burst);
   }
-  // How long after a limit was lowered calls may start at the old rate, at most: until every lease
-  // granted under the old limit has expired. `unheard`: until a granting member learns of it.
+  // Maximum time after a limit was lowered in which calls may start at the old rate, that is, until
+  // every lease granted under the old limit has expired. `unheard` is the time until the grantor
+  // learns of the new limit.
   [[nodiscard]] Time MaxTimeAtOldRate(Time unheard) const { return unheard + Stretched(term); }
 };
 
-// The key of a limit, as frames and reports write it: of a destination, or of an endpoint with a
-// limit of its own.
+// The key of a limit in frames and reports, for a destination or for an endpoint that has a
+// separate limit.
 [[nodiscard]] inline std::string KeyOf(std::uint64_t destination) {
   return "d" + std::to_string(destination);
 }
--- a/src/quota/messages.cpp
+++ b/src/quota/messages.cpp
@@ -11,9 +11,9 @@
 using peers::Reader;
 using peers::Writer;
 
-constexpr double kMaxRate = 1e6;  // calls a second; larger rates are read as this one
+constexpr double kMaxRate = 1e6;  // calls a second; larger rates are reduced to this one
 
-// In thousandths, rounded down: the sum of parts is not more than the whole.
+// Converts to thousandths, rounded down, so that the parts do not add up to more than the total.
 std::uint64_t Milli(double rate) {
   return static_cast<std::uint64_t>(std::floor(std::clamp(rate, 0.0, kMaxRate) * 1e3));
 }
--- a/src/verdicts/health_report_table.cpp
+++ b/src/verdicts/health_report_table.cpp
@@ -10,21 +10,24 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Witnesses that bind as our own calls would: the decision module's own quorum.
+// Number of agreeing witnesses whose reports count as much as our own calls; equals the decision
+// module's quorum.
 constexpr std::size_t kWitnessQuorum = 2;
-// Observations closer than this met the same state of the endpoint: a contradiction counts as
-// wrong.
+// Observations closer together than this are assumed to have met the same state of the endpoint, so
+// that a report that contradicts another observation counts as wrong.
 constexpr Time kSameObservationWindow = milliseconds(500);
-// How long one member tests a recovering endpoint before it is another one's turn.
+// How long one member tests a recovering endpoint before the next member's turn.
 constexpr Time kRecoveryTestTurn = seconds(1);
-// The others wait for the result of tests for this time in all; then each member tries on its own.
+// The total time for which a member waits for other members' test results before it tests by
+// itself.
 constexpr Time kMaxRecoveryTestWait = seconds(5);
-// A Retry-After that extends the reported one by no more than this is not reported again.
+// A Retry-After that extends the reported one by at most this much is not reported again.
 constexpr Time kWaitTolerance = milliseconds(100);
-// Each report goes to each other member this often, against the loss of one frame.
+// Number of times that each report is sent to each other member, so that the loss of one frame is
+// tolerated.
 constexpr std::size_t kSendsPerMember = 2;
 
-// FNV-1a (Fowler, Noll, Vo): the same on every member.
+// FNV-1a (Fowler, Noll, Vo); gives the same result on every member.
 std::uint64_t Hash(std::string_view text, std::uint64_t hash) {
   for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001B3;
   return hash;
@@ -53,7 +56,8 @@
   OwnEvidence& own = own_evidence_[endpoint];
   own.failures = 0;
   own.last_success = std::max(own.last_success, sent);
-  // A witness that reported it down just before this call was sent was wrong: one strike a report.
+  // A witness that reported the endpoint as down just before this call was sent was wrong. Each
+  // such report adds one strike.
   for (auto it = down_claims_.lower_bound({endpoint, ""});
        it != down_claims_.end() && it->first.endpoint == endpoint; ++it) {
     DownClaim& claim = it->second;
@@ -61,12 +65,12 @@
     if (!close || std::exchange(claim.counted_wrong, true)) continue;
     AddStrike(claim.report.witness, now);
   }
-  // A cold report stands until its retention has passed.
+  // A cold report is kept until its retention has passed.
   if (!own.current_report || own.current_report->at > sent ||
       own.current_report->seen == ObservedState::kCold) {
     return;
   }
-  // After a down report it is back and cold; a wait is over.
+  // After a down report the endpoint is back and cold; after a wait report the wait is over.
   const bool back = own.current_report->seen == ObservedState::kDown;
   RecordOwnReport(endpoint, own, back ? ObservedState::kCold : ObservedState::kFine, Time{}, now);
 }
@@ -96,7 +100,7 @@
 
 // ======== other members' reports ========
 
-// Each wrong report is one strike; the count starts anew after a period of distrust.
+// Each wrong report adds one strike. The count is reset when a period of distrust starts.
 void HealthReportTable::AddStrike(const std::string& witness, Time now) {
   Witness& suspect = witnesses_[witness];
   if (now < suspect.distrusted_until) return;
@@ -165,8 +169,8 @@
          seen - it->second.last_success < kSameObservationWindow;
 }
 
-// A single witness does not override what our own calls have just shown; if nothing is answered
-// there from now on, Tick returns to its report.
+// A single witness does not override the recent results of our own calls. If the endpoint answers
+// no call from then on, Tick gives the advice later.
 void HealthReportTable::Advise(const HealthReport& report, Time now) {
   if (!Counts(report.witness, now)) return;
   if (WitnessesOf(report.endpoint, report.seen, now) < kWitnessQuorum &&
@@ -183,7 +187,7 @@
   advice.witnesses = WitnessesOf(report.endpoint, report.seen, now);
   switch (report.seen) {
     case ObservedState::kFine:
-      return;  // only retracts an earlier report; our own calls decide the rest
+      return;  // only retracts an earlier report; everything else is left to our own calls
     case ObservedState::kDown:
       advice.what = HealthAdvice::What::kDown;
       break;
@@ -202,8 +206,9 @@
   advice_.push_back(std::move(advice));
 }
 
-// Rendezvous hashing (Thaler, Ravishankar 1998) over the members that are alive, one turn each. Two
-// members whose clocks or views differ may each pick another, which costs one more test.
+// Rendezvous hashing (Thaler, Ravishankar 1998) over the members that are alive, which take turns.
+// Two members whose clocks or views differ may pick different testers, which only costs one more
+// test.
 std::string HealthReportTable::RecoveryTester(const std::string& endpoint, Time now) const {
   const auto it = own_evidence_.find(endpoint);
   const Time since = it == own_evidence_.end() ? now : it->second.recovery_since;
@@ -231,7 +236,7 @@
 
 void HealthReportTable::DropExpired(Time now) {
   std::erase_if(reports_, [&](const auto& entry) {
-    // A wait lasts as long as its Retry-After, even beyond the retention.
+    // A wait report is kept for the duration of its Retry-After, even beyond the retention.
     return now - entry.second.at > std::max(settings_.kept, entry.second.wait_duration);
   });
   std::erase_if(down_claims_,
