--- a/tests/fleet/fleet_test.py
+++ b/tests/fleet/fleet_test.py
@@ -26,18 +26,18 @@
 import toy_server  # noqa: E402
 
 PROGRAM = os.environ["BRASSFRONT"]
-LIMIT = 60  # s
+TIMEOUT_SECONDS = 60
 KEY = "dGhlIGtleSBvZiB0aGVzZSB0ZXN0cw==\n"
 OTHER_KEY = "c29tZSBvdGhlciBrZXkgb2YgdGVzdHM=\n"
 DONE, REFUSED, BAD, NO_QUORUM = 0, 1, 2, 3
 
 
 def free_ports(count):
-    held = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
-    for each in held:
+    sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
+    for each in sockets:
         each.bind(("127.0.0.1", 0))
-    ports = [each.getsockname()[1] for each in held]
-    for each in held:
+    ports = [each.getsockname()[1] for each in sockets]
+    for each in sockets:
         each.close()
     return ports
 
@@ -83,7 +83,7 @@
             self.log.append(line.rstrip("\n"))
 
     def wait_for(self, text, since=0):
-        end = time.monotonic() + LIMIT
+        end = time.monotonic() + TIMEOUT_SECONDS
         while not any(text in line for line in self.log[since:]):
             if time.monotonic() > end:
                 raise AssertionError(
@@ -97,8 +97,8 @@
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGCONT)
             self.process.send_signal(how)
-        status = self.process.wait(timeout=LIMIT)
-        self.reader.join(timeout=LIMIT)
+        status = self.process.wait(timeout=TIMEOUT_SECONDS)
+        self.reader.join(timeout=TIMEOUT_SECONDS)
         self.process.stderr.close()
         return status
 
@@ -108,7 +108,7 @@
             [PROGRAM, "fleet", *words, "--state", str(self.folder / "state")],
             capture_output=True,
             text=True,
-            timeout=LIMIT,
+            timeout=TIMEOUT_SECONDS,
         )
         return done.returncode, done.stdout + done.stderr
 
@@ -119,7 +119,7 @@
         return json.loads(text)
 
     def wait_until(self, what, condition, *words):
-        end = time.monotonic() + LIMIT
+        end = time.monotonic() + TIMEOUT_SECONDS
         while True:
             value = self.query(*words)
             if condition(value):
@@ -200,7 +200,7 @@
         n1.wait_until("n0 to be out", n0_is_out, "maintenance", "list")
         n2.wait_until("n1 to wait for n0", n1_waits_for_n0, "maintenance", "list")
         self.assertTrue(n0.query("status")["standing_by"])
-        client = toy_server.Client(self.address_of(n0), timeout=LIMIT)
+        client = toy_server.Client(self.address_of(n0), timeout=TIMEOUT_SECONDS)
         self.addCleanup(client.close)
         self.assertIn("STANDBY", client.call("PING"))
         # It stays out over a restart, and serves again only when it is brought back.
@@ -250,12 +250,12 @@
         self.assertEqual(n0.run_command("maintenance", "hold", "yes")[0], DONE)
         self.assertEqual(n1.run_command("maintenance", "ask", "n1")[0], DONE)
 
-        def is_held(view):
+        def is_paused(view):
             return view["open"] and "held" in view["open"][0]["waits_for"]
 
-        row = n0.wait_until("the held request", is_held, "maintenance", "list")["open"][
-            0
-        ]
+        row = n0.wait_until("the held request", is_paused, "maintenance", "list")[
+            "open"
+        ][0]
         self.assertEqual(
             n1.run_command("maintenance", "cancel", str(row["request"]))[0], DONE
         )
@@ -272,7 +272,7 @@
         self.assertEqual(n0.run_command("members")[0], DONE)
         for member in (n1, n2):
             member.process.send_signal(signal.SIGCONT)
-        end = time.monotonic() + LIMIT
+        end = time.monotonic() + TIMEOUT_SECONDS
         while n0.run_command("maintenance", "ask", "n1", "--token", "4711")[0] != DONE:
             self.assertLess(time.monotonic(), end)
         value = n0.query("maintenance", "list")
@@ -307,7 +307,7 @@
             b"POST /fleet/maintenance/ask?name=%%%&kind=%zz HTTP/1.1\r\n\r\n",
         ]:
             with socket.socket(socket.AF_UNIX) as client:
-                client.settimeout(LIMIT)
+                client.settimeout(TIMEOUT_SECONDS)
                 client.connect(path)
                 try:
                     client.sendall(noise)
@@ -373,14 +373,14 @@
         for member in (n1, n2):
             member.process.send_signal(signal.SIGSTOP)
         with concurrent.futures.ThreadPoolExecutor(1) as pool:
-            asked = pool.submit(n0.run_command, "maintenance", "ask", "n1")
+            pending = pool.submit(n0.run_command, "maintenance", "ask", "n1")
             time.sleep(0.5)
             n0.process.send_signal(signal.SIGTERM)
             status = n0.process.wait(
-                timeout=LIMIT
+                timeout=TIMEOUT_SECONDS
             )  # for good, if it waits for its own answer
             self.assertEqual(status, 0)
-            self.assertNotEqual(asked.result()[0], DONE)
+            self.assertNotEqual(pending.result()[0], DONE)
 
     # ---- folders ----
 
@@ -395,14 +395,14 @@
         n1.start()
         n1.wait_for("settled log damaged", since)
         self.assertEqual(n0.run_command("maintenance", "hold", "yes")[0], DONE)
-        held = n1.wait_until(
+        last_status = n1.wait_until(
             "n1 to vote again", lambda s: s["held"] and s["votes"], "status"
         )
         # It carries the quorum now: without it nothing can be settled.
-        end = time.monotonic() + LIMIT
+        end = time.monotonic() + TIMEOUT_SECONDS
         n2.stop()
         while n0.run_command("maintenance", "hold", "no")[0] != DONE:
-            self.assertLess(time.monotonic(), end, held)
+            self.assertLess(time.monotonic(), end, last_status)
 
     def test_a_second_process_cannot_use_a_locked_state_folder(self):
         n0, _, _ = self.start_fleet()
@@ -416,7 +416,7 @@
             ],
             capture_output=True,
             text=True,
-            timeout=LIMIT,
+            timeout=TIMEOUT_SECONDS,
         )
         self.assertEqual(done.returncode, os.EX_UNAVAILABLE)
         owned = "is owned by process %d" % n0.process.pid
--- a/tests/fleet/maintenance_test.cpp
+++ b/tests/fleet/maintenance_test.cpp
@@ -11,14 +11,14 @@
 
 using std::chrono::seconds;
 
-peers::Roster RosterOf(std::size_t count, std::size_t all, std::size_t hall) {
+peers::Roster RosterOf(std::size_t count, std::size_t max_out_total, std::size_t max_out_per_zone) {
   peers::Roster roster;
   roster.fleet = "t";
   for (std::size_t i = 0; i < count; ++i) {
     roster.members.push_back({"m" + std::to_string(i), i % 2 == 0 ? "east" : "west", "", false});
   }
-  roster.max_out_total = all;
-  roster.max_out_per_zone = hall;
+  roster.max_out_total = max_out_total;
+  roster.max_out_per_zone = max_out_per_zone;
   roster.timings.probe = std::chrono::milliseconds(200);
   roster.timings.suspicion = std::chrono::milliseconds(800);
   roster.timings.drain = roster.timings.back = seconds(60);
@@ -27,11 +27,11 @@
 
 // A leader that sees all, and a log that settles at once.
 struct Fleet {
-  explicit Fleet(const peers::Roster& its) : roster(its) {
+  explicit Fleet(const peers::Roster& initial_roster) : roster(initial_roster) {
     for (const peers::Member& m : roster.members) seen[m.name] = {peers::State::kAlive, 1, 0};
-    Lead();
+    RunLeader();
   }
-  void Lead() {
+  void RunLeader() {
     for (int i = 0; i < 1000; ++i) {
       const auto c = leader.Next(machine, roster, seen, seconds(100), now);
       if (!c) return;
@@ -40,45 +40,45 @@
     }
     FAIL("the leader never stops");
   }
-  RequestResult Do(Command c) {
+  RequestResult Execute(Command c) {
     c.token = ++token;
     machine.Apply(c.Encode());
     const RequestResult* answer = machine.ResultFor(token);
     REQUIRE(answer != nullptr);
     return *answer;
   }
-  RequestResult Ask(const std::string& name, Urgency urgency = Urgency::kNormal,
-                    Kind kind = Kind::kMachine) {
+  RequestResult RequestMaintenance(const std::string& name, Urgency urgency = Urgency::kNormal,
+                                   Kind kind = Kind::kMachine) {
     Command c;
     c.verb = Verb::kRequest;
     c.kind = kind;
     c.name = name;
     c.urgency = urgency;
-    return Do(c);
+    return Execute(c);
   }
-  RequestResult Back(const std::string& name, Kind kind = Kind::kMachine) {
+  RequestResult BringBack(const std::string& name, Kind kind = Kind::kMachine) {
     Command c;
     c.verb = Verb::kBringBack;
     c.kind = kind;
     c.name = name;
-    return Do(c);
+    return Execute(c);
   }
   // Each machine does its part.
-  void Obey(const std::string& name) {
+  void CarryOutDuty(const std::string& name) {
     const Duty duty =
         ComputeDuty(machine, name, seen[name].process_incarnation,
-                    {stands_by[name], stands_by[name], !stands_by[name], banned[name]});
-    stands_by[name] = duty.stand_by;
-    banned[name] = duty.excluded_endpoints;
+                    {standing_by[name], standing_by[name], !standing_by[name], excluded[name]});
+    standing_by[name] = duty.stand_by;
+    excluded[name] = duty.excluded_endpoints;
     for (const Command& c : duty.commands) machine.Apply(c.Encode());
   }
   void Round() {
     for (const auto& [name, s] : seen) {
-      if (s.state == peers::State::kAlive) Obey(name);
+      if (s.state == peers::State::kAlive) CarryOutDuty(name);
     }
-    Lead();
+    RunLeader();
   }
-  const Request& Of(const std::string& name, Kind kind = Kind::kMachine) {
+  const Request& RequestOf(const std::string& name, Kind kind = Kind::kMachine) {
     const Request* request = machine.RequestFor(kind, name);
     REQUIRE(request != nullptr);
     return *request;
@@ -88,8 +88,8 @@
   MaintenanceState machine;
   MaintenanceScheduler leader;
   std::map<std::string, ObservedMember> seen;
-  std::map<std::string, bool> stands_by;
-  std::map<std::string, std::set<std::string>> banned;
+  std::map<std::string, bool> standing_by;
+  std::map<std::string, std::set<std::string>> excluded;
   std::vector<std::string> order;
   std::uint64_t token = 0;
   Time now = seconds(1);
@@ -97,65 +97,65 @@
 
 TEST_CASE("one machine goes out, comes back, and the next goes") {
   Fleet f(RosterOf(3, 1, 1));
-  CHECK(f.Ask("m0").good);
-  CHECK(f.Ask("m1").good);
-  f.Lead();
-  CHECK(f.Of("m0").state == State::kDraining);
-  CHECK(f.machine.WaitsFor(f.Of("m1")) == "m0 (draining)");
+  CHECK(f.RequestMaintenance("m0").good);
+  CHECK(f.RequestMaintenance("m1").good);
+  f.RunLeader();
+  CHECK(f.RequestOf("m0").state == State::kDraining);
+  CHECK(f.machine.WaitsFor(f.RequestOf("m1")) == "m0 (draining)");
   f.Round();
   f.Round();
-  CHECK(f.Of("m0").state == State::kOut);
-  CHECK(f.Of("m1").state == State::kRequested);
-  CHECK(f.Back("m0").good);
+  CHECK(f.RequestOf("m0").state == State::kOut);
+  CHECK(f.RequestOf("m1").state == State::kRequested);
+  CHECK(f.BringBack("m0").good);
   f.Round();
   f.Round();
   CHECK(f.machine.RequestFor(Kind::kMachine, "m0") == nullptr);
-  CHECK(f.Of("m1").state != State::kRequested);
+  CHECK(f.RequestOf("m1").state != State::kRequested);
 }
 
 TEST_CASE("a dead machine holds a slot, and a granted request keeps its own") {
   Fleet f(RosterOf(5, 2, 2));
   f.seen["m4"].state = peers::State::kDead;
-  f.Lead();
-  f.Ask("all");
-  f.Lead();
+  f.RunLeader();
+  f.RequestMaintenance("all");
+  f.RunLeader();
   CHECK(f.machine.SlotsInUse() == 2);
   CHECK(f.order.size() == 1);
   // The holder dies while it drains: its place stays its own.
   f.seen[f.order[0]].state = peers::State::kDead;
   f.seen["m4"].state = peers::State::kAlive;
-  f.Lead();
+  f.RunLeader();
   CHECK(f.machine.SlotsInUse() == 2);
   CHECK(f.order.size() == 2);
   f.now += seconds(61);
-  f.Lead();
+  f.RunLeader();
   f.now += seconds(61);
-  f.Lead();
-  CHECK(f.Of(f.order[0]).state == State::kFailed);
+  f.RunLeader();
+  CHECK(f.RequestOf(f.order[0]).state == State::kFailed);
   CHECK(f.machine.SlotsInUse() == 2);
   CHECK(f.order.size() == 2);
 }
 
 TEST_CASE("a grant beyond the limits is ignored when it is applied") {
   Fleet f(RosterOf(3, 1, 1));
-  f.Ask("m0");
-  f.Ask("m1");
+  f.RequestMaintenance("m0");
+  f.RequestMaintenance("m1");
   Command grant;
   grant.verb = Verb::kGrant;
-  grant.request = f.Of("m0").id;
+  grant.request = f.RequestOf("m0").id;
   f.machine.Apply(grant.Encode());
-  grant.request = f.Of("m1").id;  // by a leader that did not know
+  grant.request = f.RequestOf("m1").id;  // by a leader that did not know
   f.machine.Apply(grant.Encode());
-  CHECK(f.Of("m1").state == State::kRequested);
+  CHECK(f.RequestOf("m1").state == State::kRequested);
   CHECK(f.machine.SlotsInUse() == 1);
 }
 
 TEST_CASE("grants alternate between zones, urgency goes first, and no request starves") {
   Fleet f(RosterOf(8, 1, 1));
-  f.Ask("all");
+  f.RequestMaintenance("all");
   for (int i = 0; i < 200 && f.order.size() < 8; ++i) {
     for (const auto& [id, r] : std::map(f.machine.requests())) {
-      if (r.state == State::kOut) f.Back(r.name);
+      if (r.state == State::kOut) f.BringBack(r.name);
     }
     f.Round();
   }
@@ -165,14 +165,14 @@
   }
   // One of low urgency among a stream of high ones.
   Fleet g(RosterOf(8, 1, 1));
-  g.Ask("m7", Urgency::kLow);
+  g.RequestMaintenance("m7", Urgency::kLow);
   std::size_t turns = 0;
   for (; turns < 60; ++turns) {
-    for (int i = 0; i < 7; ++i) g.Ask("m" + std::to_string(i), Urgency::kHigh);
-    g.Lead();
+    for (int i = 0; i < 7; ++i) g.RequestMaintenance("m" + std::to_string(i), Urgency::kHigh);
+    g.RunLeader();
     if (g.machine.RequestFor(Kind::kMachine, "m7")->state != State::kRequested) break;
     for (const auto& [id, r] : std::map(g.machine.requests())) {
-      if (r.state != State::kRequested) g.Back(r.name);
+      if (r.state != State::kRequested) g.BringBack(r.name);
     }
     g.Round();
   }
@@ -182,78 +182,78 @@
 
 TEST_CASE("an endpoint is out only when every member has confirmed or has ended") {
   Fleet f(RosterOf(3, 1, 1));
-  CHECK(f.Ask("e-1", Urgency::kNormal, Kind::kEndpoint).good);
+  CHECK(f.RequestMaintenance("e-1", Urgency::kNormal, Kind::kEndpoint).good);
   f.seen["m2"].state = peers::State::kDead;  // or cut off: nobody can tell
-  f.Lead();
+  f.RunLeader();
   f.Round();
   f.Round();
-  CHECK(f.Of("e-1", Kind::kEndpoint).state == State::kDraining);
-  CHECK(f.machine.WaitsFor(f.Of("e-1", Kind::kEndpoint)) == "the word of m2");
+  CHECK(f.RequestOf("e-1", Kind::kEndpoint).state == State::kDraining);
+  CHECK(f.machine.WaitsFor(f.RequestOf("e-1", Kind::kEndpoint)) == "the word of m2");
   SUBCASE("an operator states that it has ended") {
     Command c;
     c.verb = Verb::kEnded;
     c.name = "m1";
-    CHECK_FALSE(f.Do(c).good);  // it is heard
+    CHECK_FALSE(f.Execute(c).good);  // it is heard
     c.name = "m2";
-    CHECK(f.Do(c).good);
-    CHECK(f.Of("e-1", Kind::kEndpoint).state == State::kOut);
+    CHECK(f.Execute(c).good);
+    CHECK(f.RequestOf("e-1", Kind::kEndpoint).state == State::kOut);
   }
   SUBCASE("it restarts and excludes the endpoint") {
     f.seen["m2"] = {peers::State::kAlive, 2, 0};
-    f.Lead();
+    f.RunLeader();
     f.Round();
     f.Round();
-    CHECK(f.Of("e-1", Kind::kEndpoint).state == State::kOut);
-    CHECK(f.banned["m2"].contains("e-1"));
-    CHECK(f.Back("e-1", Kind::kEndpoint).good);
+    CHECK(f.RequestOf("e-1", Kind::kEndpoint).state == State::kOut);
+    CHECK(f.excluded["m2"].contains("e-1"));
+    CHECK(f.BringBack("e-1", Kind::kEndpoint).good);
     f.Round();
-    CHECK(f.banned["m2"].empty());
+    CHECK(f.excluded["m2"].empty());
   }
   SUBCASE("a confirmation of an earlier process incarnation does not count") {
     f.seen["m0"].process_incarnation = 2;
     f.seen["m2"] = {peers::State::kAlive, 1, 0};
-    f.Lead();
-    f.Obey("m2");
-    f.Obey("m2");
-    CHECK(f.machine.WaitsFor(f.Of("e-1", Kind::kEndpoint)) == "the word of m0");
+    f.RunLeader();
+    f.CarryOutDuty("m2");
+    f.CarryOutDuty("m2");
+    CHECK(f.machine.WaitsFor(f.RequestOf("e-1", Kind::kEndpoint)) == "the word of m0");
   }
 }
 
 TEST_CASE("invalid requests are explained, and retries are idempotent") {
   Fleet f(RosterOf(3, 1, 1));
-  CHECK(f.Ask("m9").text.find("no machine m9") != std::string::npos);
-  CHECK(f.Ask("hall:north").text.find("hall north") != std::string::npos);
-  CHECK(f.Ask("m0").good);
-  CHECK(f.Ask("m0").text.find("already asked") != std::string::npos);
+  CHECK(f.RequestMaintenance("m9").text.find("no machine m9") != std::string::npos);
+  CHECK(f.RequestMaintenance("hall:north").text.find("hall north") != std::string::npos);
+  CHECK(f.RequestMaintenance("m0").good);
+  CHECK(f.RequestMaintenance("m0").text.find("already asked") != std::string::npos);
   Command c;
   c.verb = Verb::kRequest;
   c.name = "m1";
   c.token = 99;
   f.machine.Apply(c.Encode());
-  const std::uint64_t id = f.Of("m1").id;
-  CHECK(f.Back("m1").good);
+  const std::uint64_t id = f.RequestOf("m1").id;
+  CHECK(f.BringBack("m1").good);
   f.machine.Apply(c.Encode());  // the same request, late
   CHECK(f.machine.RequestFor(Kind::kMachine, "m1") == nullptr);
   Command cancel;
   cancel.verb = Verb::kCancel;
   cancel.request = id;
-  CHECK_FALSE(f.Do(cancel).good);
-  Command hold;
-  hold.verb = Verb::kPauseGrants;
-  hold.flag = true;
-  CHECK(f.Do(hold).good);
-  f.Lead();
+  CHECK_FALSE(f.Execute(cancel).good);
+  Command pause;
+  pause.verb = Verb::kPauseGrants;
+  pause.flag = true;
+  CHECK(f.Execute(pause).good);
+  f.RunLeader();
   CHECK(f.order.empty());
-  CHECK(f.machine.WaitsFor(f.Of("m0")).find("held") != std::string::npos);
-  hold.flag = false;
-  f.Do(hold);
-  f.Lead();
+  CHECK(f.machine.WaitsFor(f.RequestOf("m0")).find("held") != std::string::npos);
+  pause.flag = false;
+  f.Execute(pause);
+  f.RunLeader();
   CHECK(f.order.size() == 1);
 }
 
 TEST_CASE("a new leader grants nothing until it can know who is dead") {
   Fleet f(RosterOf(3, 1, 1));
-  f.Ask("m0");
+  f.RequestMaintenance("m0");
   MaintenanceScheduler fresh;
   CHECK_FALSE(fresh.Next(f.machine, f.roster, f.seen, seconds(1), f.now).has_value());
   CHECK(fresh.Next(f.machine, f.roster, f.seen, seconds(4), f.now).has_value());
@@ -295,31 +295,32 @@
 // ---- at size ----
 
 // Work on all of so many, each brought back by staff once it is out; returns the rounds it took.
-std::size_t RollAll(std::size_t count, std::size_t places, std::size_t& most_bytes) {
-  Fleet f(RosterOf(count, places, places));
-  REQUIRE(f.Ask("all").good);
-  std::size_t rounds = 0, out_most = 0;
+std::size_t CompleteMaintenanceOfAll(std::size_t count, std::size_t slots,
+                                     std::size_t& max_state_bytes) {
+  Fleet f(RosterOf(count, slots, slots));
+  REQUIRE(f.RequestMaintenance("all").good);
+  std::size_t rounds = 0, max_out = 0;
   for (;
        rounds < 4 * count && f.machine.finished_requests().size() + f.machine.requests().size() > 0;
        ++rounds) {
     f.Round();
-    out_most = std::max(out_most, f.machine.SlotsInUse());
-    most_bytes = std::max(most_bytes, f.machine.Save().size());
+    max_out = std::max(max_out, f.machine.SlotsInUse());
+    max_state_bytes = std::max(max_state_bytes, f.machine.Save().size());
     std::vector<std::string> out;
     for (const auto& [id, r] : f.machine.requests()) {
       if (r.state == State::kOut) out.push_back(r.name);
     }
-    for (const std::string& name : out) CHECK(f.Back(name).good);
+    for (const std::string& name : out) CHECK(f.BringBack(name).good);
     if (f.machine.requests().empty()) break;
   }
-  CHECK(out_most == places);
+  CHECK(max_out == slots);
   CHECK(f.order.size() == count);
   return rounds;
 }
 
 TEST_CASE("three hundred members take turns, and the state fits into one frame") {
   std::size_t bytes = 0;
-  const std::size_t rounds = RollAll(300, 30, bytes);
+  const std::size_t rounds = CompleteMaintenanceOfAll(300, 30, bytes);
   MESSAGE("300 members: " << rounds << " rounds, settled state " << bytes << " B at most");
   CHECK(rounds <= 300 / 30 * 4 + 4);
   CHECK(bytes <= peers::kMaxFrameBytes / 2);
--- a/tests/fleet/peers_test.cpp
+++ b/tests/fleet/peers_test.cpp
@@ -66,7 +66,7 @@
     cluster.RunFor(seconds(3));
     CHECK(cluster.changes.size() >= count * (count - 1));
     cluster.changes.clear();
-    cluster.End(1);
+    cluster.Kill(1);
     const Time killed = cluster.now;
     cluster.RunFor(seconds(6));
     for (std::size_t i = 0; i < count; ++i) {
@@ -86,10 +86,10 @@
 
 TEST_CASE("a member with an old folder is alive again, and learns that its folder is stale") {
   SimulatedCluster cluster(4, 3);
-  cluster.End(1);
+  cluster.Kill(1);
   cluster.Start(1, 9);
   cluster.RunFor(seconds(3));
-  cluster.End(1);
+  cluster.Kill(1);
   cluster.RunFor(seconds(5));
   cluster.Start(1, 1);  // an empty folder, or yesterday's
   cluster.RunFor(seconds(5));
@@ -102,11 +102,11 @@
 TEST_CASE("a member that resumes after a pause declares nobody dead, and is alive again") {
   SimulatedCluster cluster(5, 4);
   cluster.RunFor(seconds(3));
-  cluster.Stop(2);
+  cluster.Pause(2);
   cluster.RunFor(seconds(10));
   CHECK(cluster.StateOf(0, 2) == State::kDead);
   cluster.changes.clear();
-  cluster.Wake(2);
+  cluster.Resume(2);
   cluster.RunFor(seconds(6));
   for (const SimulatedCluster::ReportedChange& reported : cluster.changes)
     CHECK_FALSE((reported.by == "m2" && reported.change.to == State::kDead));
@@ -211,9 +211,9 @@
 }
 
 // Bytes a second that each member of so many sends, once all have met.
-double BytesEach(std::size_t count, Time met) {
+double BytesPerMember(std::size_t count, Time settle_time) {
   SimulatedCluster cluster(count, 9);
-  cluster.RunFor(met);
+  cluster.RunFor(settle_time);
   cluster.frames = cluster.bytes = 0;
   cluster.changes.clear();
   cluster.RunFor(seconds(10));
@@ -227,14 +227,14 @@
 }
 
 TEST_CASE("a member's traffic does not grow with the fleet") {
-  const double of_five = BytesEach(5, seconds(10));
-  CHECK(BytesEach(30, seconds(30)) < 1.1 * of_five);
-  CHECK(BytesEach(60, seconds(60)) < 1.1 * of_five);
+  const double of_five = BytesPerMember(5, seconds(10));
+  CHECK(BytesPerMember(30, seconds(30)) < 1.1 * of_five);
+  CHECK(BytesPerMember(60, seconds(60)) < 1.1 * of_five);
 }
 
 // 20 s of processor time: brassfront_fleet_tests --no-skip -tc="*three hundred*"
 TEST_CASE("a member's traffic is the same with three hundred members" * doctest::skip()) {
-  CHECK(BytesEach(300, seconds(200)) < 1.1 * BytesEach(5, seconds(10)));
+  CHECK(BytesPerMember(300, seconds(200)) < 1.1 * BytesPerMember(5, seconds(10)));
 }
 
 // ---- rosters ----
@@ -263,7 +263,7 @@
   std::filesystem::path folder_;
 };
 
-std::string Text(const std::string& more, const std::string& key = "fleet.key") {
+std::string RosterText(const std::string& more, const std::string& key = "fleet.key") {
   return "fleet: \"tacoma\"\nkey: \"" + key + "\"\nout: {all: 1, hall: 1}\n" + more;
 }
 const std::string kMembers =
@@ -273,7 +273,7 @@
 
 TEST_CASE("a roster is read, and each fault in one is reported with its place") {
   RosterFile file;
-  const Roster roster = file.Read(Text(kMembers));
+  const Roster roster = file.Read(RosterText(kMembers));
   CHECK(roster.members.size() == 3);
   CHECK(roster.Voters().size() == 3);
   CHECK(roster.secret == kSecret);
@@ -281,25 +281,27 @@
   const auto replaced = [](std::string text, const std::string& from, const std::string& to) {
     return text.replace(text.find(from), from.size(), to);
   };
-  CHECK(file.Fault(Text(replaced(kMembers, "n1", "n0"))).find("f.records:6:") != std::string::npos);
-  CHECK(file.Fault(Text(replaced(kMembers, "n1", "N 1"))).find("a name has") != std::string::npos);
-  CHECK(file.Fault(Text(replaced(kMembers, ":7401", ":7400"))).find("another member") !=
+  CHECK(file.Fault(RosterText(replaced(kMembers, "n1", "n0"))).find("f.records:6:") !=
         std::string::npos);
-  CHECK(file.Fault(Text(replaced(kMembers, ":7401", ""))).find("expected an address") !=
+  CHECK(file.Fault(RosterText(replaced(kMembers, "n1", "N 1"))).find("a name has") !=
         std::string::npos);
-  CHECK(file.Fault(Text(replaced(kMembers, "127.0.0.1:7401", "127.0.0.256:7401"))) != "");
-  CHECK(file.Fault(Text("members: [{name: \"a\", hall: \"b\", peer: \"127.0.0.1:1\"}]"))
+  CHECK(file.Fault(RosterText(replaced(kMembers, ":7401", ":7400"))).find("another member") !=
+        std::string::npos);
+  CHECK(file.Fault(RosterText(replaced(kMembers, ":7401", ""))).find("expected an address") !=
+        std::string::npos);
+  CHECK(file.Fault(RosterText(replaced(kMembers, "127.0.0.1:7401", "127.0.0.256:7401"))) != "");
+  CHECK(file.Fault(RosterText("members: [{name: \"a\", hall: \"b\", peer: \"127.0.0.1:1\"}]"))
             .find("3 members") != std::string::npos);
-  CHECK(file.Fault(Text("timings: answer: 200ms\n" + kMembers)).find("less than probe") !=
+  CHECK(file.Fault(RosterText("timings: answer: 200ms\n" + kMembers)).find("less than probe") !=
         std::string::npos);
-  CHECK(file.Fault(Text(kMembers, "no.key")).find("no key") != std::string::npos);
+  CHECK(file.Fault(RosterText(kMembers, "no.key")).find("no key") != std::string::npos);
   chmod((file.folder_ / "fleet.key").c_str(), 0644);
-  CHECK(file.Fault(Text(kMembers)).find("chmod 600") != std::string::npos);
+  CHECK(file.Fault(RosterText(kMembers)).find("chmod 600") != std::string::npos);
 }
 
 TEST_CASE("a roster changes by one member at a time") {
   RosterFile file;
-  const Roster now = file.Read(Text(kMembers));
+  const Roster now = file.Read(RosterText(kMembers));
   Roster next = now;
   CHECK(ChangeFault(now, next).empty());
   next.members[0].zone = "w";
--- a/tests/fleet/quota_test.cpp
+++ b/tests/fleet/quota_test.cpp
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-LeaseSettings TermsFor(std::size_t members) {
+LeaseSettings SettingsFor(std::size_t members) {
   LeaseSettings t;
   t.term = seconds(2);
   t.burst = milliseconds(100);
@@ -29,51 +29,52 @@
 // Members with clocks that run apart by the drift at most; all frames take 1 to 40 ms.
 class SimulatedCluster {
  public:
-  SimulatedCluster(std::size_t count, std::uint64_t seed) : terms(TermsFor(count)), random_(seed) {
+  SimulatedCluster(std::size_t count, std::uint64_t seed)
+      : settings(SettingsFor(count)), random_(seed) {
     for (std::size_t i = 0; i < count; ++i) {
       members_.push_back(
-          {LeaseHolder(terms), LeaseGrantor(terms), 1 + (Chance() - 0.5) * terms.drift});
+          {LeaseHolder(settings), LeaseGrantor(settings), 1 + (Chance() - 0.5) * settings.drift});
       members_.back().offset = seconds(random_() % 1000);
-      wants.push_back(1.5);
+      demand_rates.push_back(1.5);
     }
-    Lead(0);
+    SetLeader(0);
   }
-  // From now on; whoever led before believes that it does for `longer`.
-  void Lead(std::size_t i, Time longer = {}) {
+  // From now on; whoever led before believes that it does for `former_leads_for`.
+  void SetLeader(std::size_t i, Time former_leads_for = {}) {
     for (std::size_t f = 0; f < members_.size(); ++f) {
-      if (members_[f].leads && f != i) members_[f].leads_until = now + longer;
+      if (members_[f].leads && f != i) members_[f].leads_until = now + former_leads_for;
     }
     members_[i].leads = true;
     members_[i].leads_until = Time::max();
     members_[i].grantor.Begin(ClockOf(i));
     leader_ = i;
   }
-  void Stop(std::size_t i) { members_[i].stopped = true; }
-  void Wake(std::size_t i) { members_[i].stopped = false; }
+  void Pause(std::size_t i) { members_[i].paused = true; }
+  void Resume(std::size_t i) { members_[i].paused = false; }
   // Frames between it and all others are lost.
   void Cut(std::size_t i, bool cut) { members_[i].cut = cut; }
 
   void RunFor(Time time) {
     for (const Time until = now + time; now < until; now += milliseconds(2)) {
-      while (!flights_.empty() && flights_.front().at <= now) {
-        Flight f = std::move(flights_.front());
-        flights_.pop_front();
-        Arrive(f);
+      while (!in_flight_.empty() && in_flight_.front().at <= now) {
+        FrameInFlight f = std::move(in_flight_.front());
+        in_flight_.pop_front();
+        Deliver(f);
       }
-      for (std::size_t i = 0; i < members_.size(); ++i) Work(i);
+      for (std::size_t i = 0; i < members_.size(); ++i) RunMember(i);
     }
   }
 
   Time ClockOf(std::size_t i) const {
-    return members_[i].offset + FromSeconds(SecondsOf(now) * members_[i].speed);
+    return members_[i].offset + FromSeconds(SecondsOf(now) * members_[i].clock_rate);
   }
   LeaseGrantor& grantor() { return members_[leader_].grantor; }
   LeaseHolder& holder(std::size_t i) { return members_[i].holder; }
   // The most calls in any window of so long, above the limit times the window.
-  double MostOver(Time window, double limit, Time from = {}) const {
+  double MaxExcess(Time window, double limit, Time from = {}) const {
     double most = 0;
     std::deque<Time> in;
-    for (const Time at : begun) {
+    for (const Time at : call_starts) {
       if (at < from) continue;
       in.push_back(at);
       while (at - in.front() >= window) in.pop_front();
@@ -82,10 +83,10 @@
     return most;
   }
 
-  LeaseSettings terms;
-  std::vector<double> wants;  // calls a second, by member
-  double reported = 0;        // with each call, if above 0
-  std::vector<Time> begun;    // all calls
+  LeaseSettings settings;
+  std::vector<double> demand_rates;  // calls a second, by member
+  double reported = 0;               // with each call, if above 0
+  std::vector<Time> call_starts;     // all calls
   Time now = seconds(5);
   std::uint64_t bytes = 0;
 
@@ -93,13 +94,13 @@
   struct Member {
     LeaseHolder holder;
     LeaseGrantor grantor;
-    double speed = 1;
+    double clock_rate = 1;
     Time offset{};
-    bool stopped = false, cut = false, leads = false;
+    bool paused = false, cut = false, leads = false;
     Time leads_until = Time::max();
-    double ready = 0;  // calls
+    double queued_calls = 0;  // calls
   };
-  struct Flight {
+  struct FrameInFlight {
     Time at;
     std::size_t from, to;
     bool grant;
@@ -109,14 +110,16 @@
   void Send(std::size_t from, std::size_t to, bool grant, std::string body) {
     bytes += body.size();
     if (members_[from].cut || members_[to].cut) return;
-    flights_.push_back({now + milliseconds(1 + random_() % 40), from, to, grant, std::move(body)});
-    for (std::size_t k = flights_.size() - 1; k > 0 && flights_[k].at < flights_[k - 1].at; --k) {
-      std::swap(flights_[k], flights_[k - 1]);
+    in_flight_.push_back(
+        {now + milliseconds(1 + random_() % 40), from, to, grant, std::move(body)});
+    for (std::size_t k = in_flight_.size() - 1; k > 0 && in_flight_[k].at < in_flight_[k - 1].at;
+         --k) {
+      std::swap(in_flight_[k], in_flight_[k - 1]);
     }
   }
-  void Arrive(const Flight& f) {
+  void Deliver(const FrameInFlight& f) {
     Member& to = members_[f.to];
-    if (to.stopped || to.cut) return;
+    if (to.paused || to.cut) return;
     if (f.grant) {
       const auto grant = LeaseGrant::Decode(f.body);
       REQUIRE(grant);
@@ -129,19 +132,19 @@
       Send(f.to, f.from, true, grant->Encode());
     }
   }
-  void Work(std::size_t i) {
+  void RunMember(std::size_t i) {
     Member& m = members_[i];
-    if (m.stopped) return;
+    if (m.paused) return;
     const Time clock = ClockOf(i);
     if (now > m.leads_until) m.leads = false;
-    const double arrive = wants[i] * 0.002;
+    const double arrive = demand_rates[i] * 0.002;
     if (Chance() < arrive) {
       m.holder.OnDemand("d1", clock);
-      m.ready = std::min(m.ready + 1, 20.0);
+      m.queued_calls = std::min(m.queued_calls + 1, 20.0);
     }
-    while (m.ready >= 1 && m.holder.TryAcquire("d1", clock)) {
-      m.ready -= 1;
-      begun.push_back(now);
+    while (m.queued_calls >= 1 && m.holder.TryAcquire("d1", clock)) {
+      m.queued_calls -= 1;
+      call_starts.push_back(now);
       if (reported > 0) m.holder.OnLimitReported("d1", reported, clock);
     }
     const auto request = m.holder.NextRequest(clock);
@@ -159,78 +162,79 @@
 
   std::mt19937_64 random_;
   std::vector<Member> members_;
-  std::deque<Flight> flights_;
+  std::deque<FrameInFlight> in_flight_;
   std::size_t leader_ = 0;
 };
 
 TEST_CASE("a member that gets nearly all the traffic gets nearly all of the limit") {
-  SimulatedCluster w(5, 1);
-  w.wants = {40, 0.2, 0.2, 0.2, 0.2};
-  w.RunFor(seconds(10));
-  const std::size_t before = w.begun.size();
-  w.RunFor(seconds(10));
-  const double used = static_cast<double>(w.begun.size() - before) / 10;
+  SimulatedCluster cluster(5, 1);
+  cluster.demand_rates = {40, 0.2, 0.2, 0.2, 0.2};
+  cluster.RunFor(seconds(10));
+  const std::size_t before = cluster.call_starts.size();
+  cluster.RunFor(seconds(10));
+  const double used = static_cast<double>(cluster.call_starts.size() - before) / 10;
   CHECK(used > 0.85 * 10);  // the others have lent their floors
-  CHECK(w.MostOver(seconds(1), 10) <= w.terms.MaxExcessCalls(10));
+  CHECK(cluster.MaxExcess(seconds(1), 10) <= cluster.settings.MaxExcessCalls(10));
 }
 
 TEST_CASE("shares follow the traffic, and their sum never exceeds the limit") {
-  SimulatedCluster w(5, 2);
+  SimulatedCluster cluster(5, 2);
   std::mt19937_64 random(3);
   for (int round = 0; round < 30; ++round) {
-    for (double& want : w.wants) want = static_cast<double>(random() % 12);
-    w.RunFor(seconds(3));
-    REQUIRE(w.grantor().Outstanding("d1", w.ClockOf(0)) <= 10);
+    for (double& want : cluster.demand_rates) want = static_cast<double>(random() % 12);
+    cluster.RunFor(seconds(3));
+    REQUIRE(cluster.grantor().Outstanding("d1", cluster.ClockOf(0)) <= 10);
   }
   for (const Time window : {milliseconds(200), milliseconds(1000), milliseconds(5000)}) {
-    CHECK(w.MostOver(window, 10) <= w.terms.MaxExcessCalls(10));
+    CHECK(cluster.MaxExcess(window, 10) <= cluster.settings.MaxExcessCalls(10));
   }
 }
 
 // Random cuts, stops, deaths of leaders, and old leaders that go on granting for as long as they
 // may.
-std::pair<double, double> Storm(std::size_t members, std::uint64_t seed, int rounds) {
-  SimulatedCluster w(members, seed);
+std::pair<double, double> RunRandomFaults(std::size_t members, std::uint64_t seed, int rounds) {
+  SimulatedCluster cluster(members, seed);
   std::mt19937_64 random(seed);
-  for (double& want : w.wants) want = 6;
-  std::vector<std::size_t> cut, stopped;
+  for (double& want : cluster.demand_rates) want = 6;
+  std::vector<std::size_t> cut, paused;
   for (int round = 0; round < rounds; ++round) {
     const std::size_t one = random() % members;
     switch (random() % 4) {
       case 0:
-        w.Cut(one, true);
+        cluster.Cut(one, true);
         cut.push_back(one);
         break;
       case 1:
-        w.Stop(one);
-        stopped.push_back(one);
+        cluster.Pause(one);
+        paused.push_back(one);
         break;
       case 2:
-        w.Lead(one, 2 * w.terms.election);
+        cluster.SetLeader(one, 2 * cluster.settings.election);
         break;
       default:
-        for (const std::size_t f : std::exchange(cut, {})) w.Cut(f, false);
-        for (const std::size_t f : std::exchange(stopped, {})) w.Wake(f);
+        for (const std::size_t f : std::exchange(cut, {})) cluster.Cut(f, false);
+        for (const std::size_t f : std::exchange(paused, {})) cluster.Resume(f);
     }
-    w.RunFor(milliseconds(200 + random() % 3000));
+    cluster.RunFor(milliseconds(200 + random() % 3000));
   }
-  const double limit = w.terms.listed.at("d1");
-  const double per_member =
-      static_cast<double>(w.bytes) / SecondsOf(w.now - seconds(5)) / static_cast<double>(members);
-  return {w.MostOver(seconds(1), limit) / w.terms.MaxExcessCalls(limit), per_member};
+  const double limit = cluster.settings.listed.at("d1");
+  const double per_member = static_cast<double>(cluster.bytes) /
+                            SecondsOf(cluster.now - seconds(5)) / static_cast<double>(members);
+  return {cluster.MaxExcess(seconds(1), limit) / cluster.settings.MaxExcessCalls(limit),
+          per_member};
 }
 
 TEST_CASE("the bound holds with links cut, members suspended and former leaders") {
   double worst = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed)
-    worst = std::max(worst, Storm(5, seed, 40).first);
+    worst = std::max(worst, RunRandomFaults(5, seed, 40).first);
   MESSAGE("the worst came to " << worst << " of the bound");
   CHECK(worst <= 1);
 }
 
 TEST_CASE("the bound holds for three hundred members as for five") {
   for (const std::size_t members : {5, 30, 300}) {
-    const auto [worst, bytes] = Storm(members, 7, members > 100 ? 12 : 40);
+    const auto [worst, bytes] = RunRandomFaults(members, 7, members > 100 ? 12 : 40);
     MESSAGE(members << " members: " << worst << " of the bound, " << bytes << " B a second each");
     CHECK(worst <= 1);
     CHECK(bytes < 400);
@@ -238,23 +242,23 @@
 }
 
 TEST_CASE("a lease expires on its holder's own clock, even while the holder is suspended") {
-  SimulatedCluster w(3, 5);
-  w.wants = {0, 0, 30};
-  w.RunFor(seconds(8));
-  REQUIRE(*w.holder(2).RateOf("d1", w.ClockOf(2)) > 3);
-  w.Stop(2);
-  w.RunFor(seconds(10));
-  const double floor = w.terms.FloorOf(6);
-  CHECK(*w.holder(2).RateOf("d1", w.ClockOf(2)) == doctest::Approx(floor));
+  SimulatedCluster cluster(3, 5);
+  cluster.demand_rates = {0, 0, 30};
+  cluster.RunFor(seconds(8));
+  REQUIRE(*cluster.holder(2).RateOf("d1", cluster.ClockOf(2)) > 3);
+  cluster.Pause(2);
+  cluster.RunFor(seconds(10));
+  const double floor = cluster.settings.FloorOf(6);
+  CHECK(*cluster.holder(2).RateOf("d1", cluster.ClockOf(2)) == doctest::Approx(floor));
   // What it may begin at once on waking is a burst of its floor: one call.
   std::size_t at_once = 0;
-  while (w.holder(2).TryAcquire("d1", w.ClockOf(2))) ++at_once;
+  while (cluster.holder(2).TryAcquire("d1", cluster.ClockOf(2))) ++at_once;
   CHECK(at_once == 1);
 }
 
 TEST_CASE("lent quota is granted only while recent, and its cool-down lasts longer") {
-  const LeaseSettings terms = TermsFor(2);
-  LeaseGrantor grantor(terms);
+  const LeaseSettings settings = SettingsFor(2);
+  LeaseGrantor grantor(settings);
   grantor.Begin(Time{});
   const Time t = seconds(10);
   const auto ask = [&](const char* who, std::uint64_t number, std::uint64_t had, double demand,
@@ -266,30 +270,31 @@
   ask("idle", 2, 1, 0, 0.3, t + milliseconds(500));  // as young as the answer at t
   CHECK(ask("busy", 2, 1, 9, 0, t + milliseconds(600))->parts.at("d1").lease ==
         doctest::Approx(4 * 0.1 + 0.3));
-  CHECK(ask("busy", 3, 2, 9, 0, t + terms.LentQuotaLifetime())->parts.at("d1").lease ==
+  CHECK(ask("busy", 3, 2, 9, 0, t + settings.LentQuotaLifetime())->parts.at("d1").lease ==
         doctest::Approx(4 * 0.1));
-  CHECK(terms.LeaseCoolDown() >=
-        terms.Stretched(terms.LentQuotaLifetime()) + terms.Stretched(terms.term));
+  CHECK(settings.LeaseCoolDown() >=
+        settings.Stretched(settings.LentQuotaLifetime()) + settings.Stretched(settings.term));
 }
 
 TEST_CASE("a lowered limit is kept by all members within the stated time") {
-  SimulatedCluster w(5, 9);
-  for (double& want : w.wants) want = 6;
-  w.reported = 10;
-  w.RunFor(seconds(8));
-  w.reported = 4;
-  const Time fell = w.now;
-  w.RunFor(seconds(15));
-  const Time kept =
-      fell + w.terms.MaxTimeAtOldRate(w.terms.Renew() + w.terms.Stretched(w.terms.term));
-  CHECK(w.MostOver(seconds(1), 4, kept) <= w.terms.MaxExcessCalls(4));
+  SimulatedCluster cluster(5, 9);
+  for (double& want : cluster.demand_rates) want = 6;
+  cluster.reported = 10;
+  cluster.RunFor(seconds(8));
+  cluster.reported = 4;
+  const Time fell = cluster.now;
+  cluster.RunFor(seconds(15));
+  const Time lowered_by =
+      fell + cluster.settings.MaxTimeAtOldRate(cluster.settings.Renew() +
+                                               cluster.settings.Stretched(cluster.settings.term));
+  CHECK(cluster.MaxExcess(seconds(1), 4, lowered_by) <= cluster.settings.MaxExcessCalls(4));
 }
 
 TEST_CASE("one wrong report, of nothing or of a million, does not move the limit") {
   for (const double lie : {0.01, 1e6}) {
-    LeaseSettings terms = TermsFor(5);
-    terms.listed.clear();
-    LeaseGrantor grantor(terms);
+    LeaseSettings settings = SettingsFor(5);
+    settings.listed.clear();
+    LeaseGrantor grantor(settings);
     grantor.Begin(Time{});
     for (std::uint64_t n = 1; n <= 20; ++n) {
       const Time now = seconds(n);
@@ -304,13 +309,13 @@
 }
 
 TEST_CASE("a new grantor grants no lease, and an old request is ignored") {
-  const LeaseSettings terms = TermsFor(3);
-  LeaseGrantor grantor(terms);
+  const LeaseSettings settings = SettingsFor(3);
+  LeaseGrantor grantor(settings);
   const LeaseRequestBatch request{5, 0, {{"d1", {9, 0, 0, 0}}}};
   CHECK_FALSE(grantor.Answer("a", request, seconds(1)));
   grantor.Begin(seconds(1));
   CHECK_FALSE(grantor.Answer("a", request, seconds(2))->leases);
-  const Time later = seconds(1) + terms.QuietTime();
+  const Time later = seconds(1) + settings.QuietTime();
   CHECK_FALSE(grantor.Answer("a", request, later));  // the same number again
   CHECK(grantor.Answer("a", {6, 0, {{"d1", {9, 0, 0, 0}}}}, later)->parts.at("d1").lease > 0);
   CHECK_FALSE(grantor.Answer("a", {4, 0, {{"d1", {9, 0, 0, 0}}}}, later + seconds(1)));
--- a/tests/fleet/raft_node_test.cpp
+++ b/tests/fleet/raft_node_test.cpp
@@ -45,7 +45,7 @@
   MemoryStore store;
   CommandList list;
   std::unique_ptr<RaftNode> raft_node;
-  bool stopped = false;
+  bool paused = false;
 };
 
 // Voters on a simulated network: one seed, a tick of 5 ms, delays of 1 to 10 ms on each link.
@@ -68,7 +68,7 @@
     options.seed = random_();
     v.raft_node = std::make_unique<RaftNode>(options, v.store, v.list);
     v.raft_node->AllowVoting();
-    v.stopped = false;
+    v.paused = false;
   }
   void Kill(const std::string& name) { voters_[name].raft_node.reset(); }
   // The voter comes back with another id and an empty store.
@@ -98,13 +98,13 @@
       });
       for (MessageInFlight& f : due) {
         Voter& to = voters_[f.message.to];
-        if (to.raft_node == nullptr || to.stopped) continue;
+        if (to.raft_node == nullptr || to.paused) continue;
         to.raft_node->Receive(f.from, f.id, f.message.is_bootstrap, f.message.body, now);
         Collect(f.message.to);
       }
       for (const std::string& name : names_) {
         Voter& v = voters_[name];
-        if (v.raft_node == nullptr || v.stopped) continue;
+        if (v.raft_node == nullptr || v.paused) continue;
         v.raft_node->Tick(now);
         Collect(name);
       }
@@ -115,7 +115,7 @@
     std::string leader;
     std::uint64_t term = 0;
     for (const auto& [name, v] : voters_) {
-      if (v.raft_node && !v.stopped && v.raft_node->leads() && v.raft_node->term() > term) {
+      if (v.raft_node && !v.paused && v.raft_node->leads() && v.raft_node->term() > term) {
         leader = name;
         term = v.raft_node->term();
       }
@@ -245,10 +245,10 @@
   SimulatedVoters cluster(3, 11);
   REQUIRE(cluster.Commit("one"));
   const std::string old = cluster.Leader();
-  cluster.at(old).stopped = true;
+  cluster.at(old).paused = true;
   cluster.RunFor(seconds(5));
   REQUIRE(cluster.Commit("two"));
-  cluster.at(old).stopped = false;
+  cluster.at(old).paused = false;
   const auto late = cluster.Propose(old, "late");
   cluster.RunFor(seconds(5));
   CHECK(*late != RaftNode::Outcome::kApplied);
@@ -303,7 +303,7 @@
     SimulatedVoters cluster(5, seed);
     std::mt19937_64 random(seed);
     REQUIRE_FALSE(cluster.AwaitLeader().empty());
-    std::vector<std::pair<std::string, std::shared_ptr<std::optional<RaftNode::Outcome>>>> asked;
+    std::vector<std::pair<std::string, std::shared_ptr<std::optional<RaftNode::Outcome>>>> proposed;
     const auto name = [&] { return "v" + std::to_string(random() % 5); };
     std::size_t lost = 0;
     Time lost_at{};
@@ -313,7 +313,7 @@
           cluster.Kill(name());
           break;
         case 1:
-          cluster.at(name()).stopped = true;
+          cluster.at(name()).paused = true;
           break;
         case 2:
           cluster.Cut(name(), name());
@@ -324,7 +324,7 @@
             cluster.Heal();
             for (int i = 0; i < 5; ++i) {
               const std::string each = "v" + std::to_string(i);
-              cluster.at(each).stopped = false;
+              cluster.at(each).paused = false;
               if (cluster.at(each).raft_node == nullptr) cluster.Start(each);
             }
             cluster.RunFor(seconds(10));
@@ -343,14 +343,14 @@
         case 5: {
           const std::string who = name();
           if (cluster.at(who).raft_node == nullptr) cluster.Start(who);
-          cluster.at(who).stopped = false;
+          cluster.at(who).paused = false;
           break;
         }
         default: {
           const std::string leader = cluster.Leader();
           if (leader.empty()) break;
           const std::string command = "c" + std::to_string(step);
-          asked.emplace_back(command, cluster.Propose(leader, command));
+          proposed.emplace_back(command, cluster.Propose(leader, command));
         }
       }
       cluster.RunFor(milliseconds(random() % 900));
@@ -359,14 +359,14 @@
     cluster.Heal();
     for (int i = 0; i < 5; ++i) {
       const std::string each = "v" + std::to_string(i);
-      cluster.at(each).stopped = false;
+      cluster.at(each).paused = false;
       if (cluster.at(each).raft_node == nullptr) cluster.Start(each);
     }
     REQUIRE(cluster.Commit("end"));
     cluster.RunFor(seconds(10));
     cluster.CheckSameOrder();
     const auto& all = cluster.at(cluster.Leader()).list.all;
-    for (const auto& [command, outcome] : asked) {
+    for (const auto& [command, outcome] : proposed) {
       const auto times = std::count(all.begin(), all.end(), command);
       CHECK(times <= 1);
       if (*outcome == RaftNode::Outcome::kApplied) CHECK(times == 1);
@@ -474,10 +474,10 @@
     REQUIRE(store.SetVote(9));
     REQUIRE(store.Append({{3, 1, "one"}, {3, 1, "two"}}));
   }
-  const std::string whole = folder.Read("settled");
+  const std::string intact_log = folder.Read("settled");
   std::size_t cut_votes = 0;
-  for (std::size_t length = 0; length < whole.size(); ++length) {
-    folder.Write("settled", whole.substr(0, length));
+  for (std::size_t length = 0; length < intact_log.size(); ++length) {
+    folder.Write("settled", intact_log.substr(0, length));
     FileStore store(folder.path.string());
     const PersistentState kept = store.Load(damaged);
     CHECK_FALSE(damaged);
@@ -486,8 +486,8 @@
     CHECK(store.Load(damaged).vote == 5);
   }
   CHECK(cut_votes > 0);
-  for (std::size_t bit = 0; bit < whole.size() * 8; ++bit) {
-    std::string flipped = whole;
+  for (std::size_t bit = 0; bit < intact_log.size() * 8; ++bit) {
+    std::string flipped = intact_log;
     flipped[bit / 8] = static_cast<char>(flipped[bit / 8] ^ (1 << (bit % 8)));
     folder.Write("settled", flipped);
     FileStore store(folder.path.string());
--- a/tests/fleet/rehearsals_test.py
+++ b/tests/fleet/rehearsals_test.py
@@ -9,9 +9,9 @@
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 PROGRAM = os.environ["BRASSFRONT"]
-TURNS = 3  # of one that was void
-LIMIT = 240  # s
-AT_ONCE = 4
+ATTEMPTS = 3  # of one that was void
+TIMEOUT_SECONDS = 240
+PARALLEL_RUNS = 4
 
 
 class FleetRehearsalsTest(unittest.TestCase):
@@ -24,8 +24,8 @@
         self.folder = pathlib.Path(folder.name)
 
     def rehearse(self, name):
-        for turn in range(TURNS):
-            out = self.folder / ("%s-%d" % (name, turn))
+        for attempt in range(ATTEMPTS):
+            out = self.folder / ("%s-%d" % (name, attempt))
             scenario = ROOT / "rehearsals" / (name + ".rehearsal")
             done = subprocess.run(
                 [
@@ -39,14 +39,14 @@
                 ],
                 capture_output=True,
                 text=True,
-                timeout=LIMIT,
+                timeout=TIMEOUT_SECONDS,
             )
             if done.returncode != 3:  # void
                 break
         return name, done.returncode, done.stdout + done.stderr
 
     def test_the_short_set_of_rehearsals_passes(self):
-        with concurrent.futures.ThreadPoolExecutor(AT_ONCE) as pool:
+        with concurrent.futures.ThreadPoolExecutor(PARALLEL_RUNS) as pool:
             for name, status, text in pool.map(self.rehearse, self.SHORT_SET):
                 self.assertEqual(status, 0, "%s\n%s" % (name, text))
 
--- a/tests/fleet/simulated_cluster.hpp
+++ b/tests/fleet/simulated_cluster.hpp
@@ -38,21 +38,21 @@
   void Start(std::size_t i, std::uint64_t process_incarnation) {
     members_[names_[i]] = std::make_unique<FailureDetector>(timings, names_[i], names_, 1000 + i,
                                                             process_incarnation, random_());
-    Wake(i);
+    Resume(i);
   }
   // Kills the process: no good-bye.
-  void End(std::size_t i) {
+  void Kill(std::size_t i) {
     members_.erase(names_[i]);
     ScheduleTick(names_[i]);
   }
   // Pauses the process: its timers do not run, and its datagrams wait in the socket.
-  void Stop(std::size_t i) {
-    stopped_.insert(names_[i]);
+  void Pause(std::size_t i) {
+    paused_.insert(names_[i]);
     ScheduleTick(names_[i]);
   }
   // Resumes a paused process.
-  void Wake(std::size_t i) {
-    stopped_.erase(names_[i]);
+  void Resume(std::size_t i) {
+    paused_.erase(names_[i]);
     ScheduleTick(names_[i]);
   }
   // Drops all frames in this one direction, or no more (`cut` false).
@@ -127,7 +127,7 @@
     const std::string& receiver = next.frame->to;
     const auto it = members_.find(receiver);
     if (it == members_.end()) return;
-    if (stopped_.contains(receiver)) {
+    if (paused_.contains(receiver)) {
       waiting_[receiver].push_back(next.frame);
       return;
     }
@@ -149,7 +149,7 @@
     if (const auto it = due_at_.find(name); it != due_at_.end()) due_.erase({it->second, name});
     due_at_.erase(name);
     const auto member = members_.find(name);
-    if (member == members_.end() || stopped_.contains(name)) return;
+    if (member == members_.end() || paused_.contains(name)) return;
     const Time next = std::max(member->second->Next(), now + std::chrono::microseconds(1));
     due_.insert({next, name});
     due_at_[name] = next;
@@ -181,7 +181,7 @@
   std::mt19937_64 random_;
   std::vector<std::string> names_;
   std::map<std::string, std::unique_ptr<FailureDetector>> members_;
-  std::set<std::string> stopped_;
+  std::set<std::string> paused_;
   std::set<std::pair<Time, std::string>> due_;
   std::map<std::string, Time> due_at_;
   std::map<std::string, std::vector<std::shared_ptr<const Frame>>> waiting_;
--- a/tests/fleet/verdicts_test.cpp
+++ b/tests/fleet/verdicts_test.cpp
@@ -48,10 +48,10 @@
 }
 
 TEST_CASE("neither order nor duplicates matter, and an earlier incarnation is superseded") {
-  Member old("a", 1), young("a", 2), c("c"), d("d");
+  Member old("a", 1), restarted("a", 2), c("c"), d("d");
   const std::string first = old.Down(seconds(1));
-  young.table.OnRetryAfter("e0", seconds(5), seconds(2));
-  const std::string second = young.table.TakeOutgoingReports(seconds(2)).bytes;
+  restarted.table.OnRetryAfter("e0", seconds(5), seconds(2));
+  const std::string second = restarted.table.TakeOutgoingReports(seconds(2)).bytes;
   for (const std::string& s : {first, second, first}) c.table.Receive("a", s, seconds(2));
   for (const std::string& s : {second, first, second}) d.table.Receive("a", s, seconds(2));
   CHECK(c.table.reports().at({"e0", "a"}).seen == ObservedState::kWait);
@@ -90,12 +90,12 @@
 TEST_CASE("one member tests a recovering endpoint while the others wait for a bounded time") {
   std::vector<Member> members;
   for (const char* name : {"a", "b", "c", "d"}) members.emplace_back(name);
-  std::vector<std::string> words;
-  for (Member& m : members) words.push_back(m.Down(seconds(1)));
+  std::vector<std::string> frames;
+  for (Member& m : members) frames.push_back(m.Down(seconds(1)));
   for (std::size_t i = 0; i < 4; ++i) {
     for (std::size_t k = 0; k < 4; ++k) {
       if (i != k)
-        members[i].table.Receive(std::string(1, static_cast<char>('a' + k)), words[k], seconds(1));
+        members[i].table.Receive(std::string(1, static_cast<char>('a' + k)), frames[k], seconds(1));
     }
   }
   std::size_t waits = 0, late = 0;
@@ -127,16 +127,16 @@
   for (int i = 0; i < 300; ++i) all.push_back("m" + std::to_string(i));
   table.SetPresent(all);
   for (int i = 0; i < 3; ++i) table.Failed("e0", seconds(1));
-  std::map<std::string, int> told;
+  std::map<std::string, int> frames_received;
   Time now = seconds(1);
   for (int i = 0; i < 100; ++i, now += milliseconds(100)) {
     const auto outgoing = table.TakeOutgoingReports(now);
     CHECK(outgoing.to.size() <= kMaxFramesPerRound);
     CHECK(outgoing.bytes.size() < 200);
-    for (const std::string& to : outgoing.to) ++told[to];
+    for (const std::string& to : outgoing.to) ++frames_received[to];
   }
-  CHECK(told.size() == 299);
-  for (const auto& [name, times] : told) CHECK(times == 2);
+  CHECK(frames_received.size() == 299);
+  for (const auto& [name, count] : frames_received) CHECK(count == 2);
 }
 
 TEST_CASE("invalid frames are rejected and change nothing") {
