--- a/src/consensus/file_store.hpp
+++ b/src/consensus/file_store.hpp
@@ -44,7 +44,7 @@
   const std::size_t max_bytes_;
   peers::FileDescriptor log_;
   std::size_t log_bytes_ = 0, snapshot_bytes_ = 0;
-  bool failed_ = false;         // what the log file holds is not known: nothing more is written
+  bool failed_ = false;         // the contents of the log file are unknown; nothing more is written
   PersistentState persistent_;  // the state that the two files contain
 };
 
--- a/src/maintenance/maintenance_scheduler.cpp
+++ b/src/maintenance/maintenance_scheduler.cpp
@@ -120,7 +120,8 @@
 
 // Chooses by, in this order: the urgency; a different zone than the last grant; the highest load,
 // because a loaded machine gains most while other members still have capacity for its clients; the
-// age. The grant is a committed command, so that every member sees the same order.
+// age, the oldest request first. The grant is a committed command, so that every member sees the
+// same order.
 std::optional<Command> MaintenanceScheduler::ProposeGrant(
     const MaintenanceState& state_machine, const std::map<std::string, ObservedMember>& seen) {
   const Request* best = nullptr;
--- a/src/peers/roster.hpp
+++ b/src/peers/roster.hpp
@@ -16,7 +16,7 @@
 
 using Time = std::chrono::nanoseconds;  // on the member's own monotonic clock
 
-inline constexpr std::size_t kMaxMembers = 300;  // the fleet's time bounds hold up to this size
+inline constexpr std::size_t kMaxMembers = 300;  // the bounds are tested up to this size
 // Three is the smallest number of voters that tolerates the loss of one. With more than seven, each
 // command waits for more disks, and the additional failures tolerated are unlikely ones.
 inline constexpr std::size_t kMinVoters = 3, kMaxVoters = 7;
--- a/tests/fleet/fleet_test.py
+++ b/tests/fleet/fleet_test.py
@@ -1,9 +1,8 @@
-"""Several processes that form a fleet, tested from outside.
+"""Tests of a fleet of several processes through its external interfaces.
 
-Covers the commands, how they report faults, and a short set of rehearsals with faults
-between processes. No fixed ports, and no verdict depends on speed: each wait has a
-long limit that only a failure reaches, and a rehearsal whose stand-ins were late is
-repeated.
+Covers the commands and how they report faults, misconfigured members, the roster and
+damaged folders. The tests use no fixed ports, and no result depends on speed: each wait
+has a long time limit that is reached only on a failure.
 """
 
 import concurrent.futures
@@ -103,7 +102,7 @@
         return status
 
     def run_command(self, *words):
-        """The exit status, and the output."""
+        """Return the exit status and the output."""
         done = subprocess.run(
             [PROGRAM, "fleet", *words, "--state", str(self.folder / "state")],
             capture_output=True,
@@ -125,7 +124,7 @@
             if condition(value):
                 return value
             if time.monotonic() > end:
-                raise AssertionError("waited in vain for %s: %s" % (what, value))
+                raise AssertionError("timed out waiting for %s: %s" % (what, value))
             time.sleep(0.05)
 
 
@@ -168,7 +167,7 @@
         return [self.members[name] for name in names or self.names]
 
     def start_fleet(self):
-        """Three members whose replicated log has the roster."""
+        """Start three members and wait until their replicated log has the roster."""
         members = self.start()
         for member in members:
             member.wait_until(
@@ -203,7 +202,7 @@
         client = toy_server.Client(self.address_of(n0), timeout=TIMEOUT_SECONDS)
         self.addCleanup(client.close)
         self.assertIn("STANDBY", client.call("PING"))
-        # It stays out over a restart, and serves again only when it is brought back.
+        # n0 stays out after a restart and serves again only after it is brought back.
         n0.stop()
         since = len(n0.log)
         n0.start()
@@ -313,7 +312,7 @@
                     client.sendall(noise)
                     self.assertTrue(client.recv(4096).startswith(b"HTTP/1.1 40"), noise)
                 except ConnectionError:
-                    pass  # more was sent than is read
+                    pass  # the server closed the connection before it read everything
         self.assertEqual(n0.run_command("status")[0], DONE)
 
     # ---- misconfigured members, and the roster ----
@@ -376,9 +375,8 @@
             pending = pool.submit(n0.run_command, "maintenance", "ask", "n1")
             time.sleep(0.5)
             n0.process.send_signal(signal.SIGTERM)
-            status = n0.process.wait(
-                timeout=TIMEOUT_SECONDS
-            )  # for good, if it waits for its own answer
+            # The process would never end if it waited for its own answer.
+            status = n0.process.wait(timeout=TIMEOUT_SECONDS)
             self.assertEqual(status, 0)
             self.assertNotEqual(pending.result()[0], DONE)
 
@@ -398,7 +396,7 @@
         last_status = n1.wait_until(
             "n1 to vote again", lambda s: s["held"] and s["votes"], "status"
         )
-        # It carries the quorum now: without it nothing can be settled.
+        # Without n2, a quorum needs n1's vote: a command succeeds only if n1 votes.
         end = time.monotonic() + TIMEOUT_SECONDS
         n2.stop()
         while n0.run_command("maintenance", "hold", "no")[0] != DONE:
--- a/tests/fleet/maintenance_test.cpp
+++ b/tests/fleet/maintenance_test.cpp
@@ -1,4 +1,5 @@
-// The maintenance state machine, its scheduler and member duties, without a replicated log.
+// Tests of the maintenance state machine, its scheduler and member duties, without a replicated
+// log.
 #include <doctest/doctest.h>
 
 #include <random>
@@ -25,7 +26,7 @@
   return roster;
 }
 
-// A leader that sees all, and a log that settles at once.
+// A fleet whose leader observes all members and whose commands are committed at once.
 struct Fleet {
   explicit Fleet(const peers::Roster& initial_roster) : roster(initial_roster) {
     for (const peers::Member& m : roster.members) seen[m.name] = {peers::State::kAlive, 1, 0};
@@ -63,7 +64,7 @@
     c.name = name;
     return Execute(c);
   }
-  // Each machine does its part.
+  // The member carries out its current duty and reports progress.
   void CarryOutDuty(const std::string& name) {
     const Duty duty =
         ComputeDuty(machine, name, seen[name].process_incarnation,
@@ -121,7 +122,7 @@
   f.RunLeader();
   CHECK(f.machine.SlotsInUse() == 2);
   CHECK(f.order.size() == 1);
-  // The holder dies while it drains: its place stays its own.
+  // The machine with the granted request dies while it drains, and keeps its slot.
   f.seen[f.order[0]].state = peers::State::kDead;
   f.seen["m4"].state = peers::State::kAlive;
   f.RunLeader();
@@ -144,7 +145,7 @@
   grant.verb = Verb::kGrant;
   grant.request = f.RequestOf("m0").id;
   f.machine.Apply(grant.Encode());
-  grant.request = f.RequestOf("m1").id;  // by a leader that did not know
+  grant.request = f.RequestOf("m1").id;  // by a leader that does not know of the first grant
   f.machine.Apply(grant.Encode());
   CHECK(f.RequestOf("m1").state == State::kRequested);
   CHECK(f.machine.SlotsInUse() == 1);
@@ -163,7 +164,7 @@
   for (std::size_t i = 1; i < 8; ++i) {
     CHECK((f.order[i].back() - '0') % 2 != (f.order[i - 1].back() - '0') % 2);
   }
-  // One of low urgency among a stream of high ones.
+  // One request of low urgency among many of high urgency.
   Fleet g(RosterOf(8, 1, 1));
   g.RequestMaintenance("m7", Urgency::kLow);
   std::size_t turns = 0;
@@ -183,7 +184,7 @@
 TEST_CASE("an endpoint is out only when every member has confirmed or has ended") {
   Fleet f(RosterOf(3, 1, 1));
   CHECK(f.RequestMaintenance("e-1", Urgency::kNormal, Kind::kEndpoint).good);
-  f.seen["m2"].state = peers::State::kDead;  // or cut off: nobody can tell
+  f.seen["m2"].state = peers::State::kDead;  // or disconnected, which nobody can distinguish
   f.RunLeader();
   f.Round();
   f.Round();
@@ -193,7 +194,7 @@
     Command c;
     c.verb = Verb::kEnded;
     c.name = "m1";
-    CHECK_FALSE(f.Execute(c).good);  // it is heard
+    CHECK_FALSE(f.Execute(c).good);  // m1 is alive
     c.name = "m2";
     CHECK(f.Execute(c).good);
     CHECK(f.RequestOf("e-1", Kind::kEndpoint).state == State::kOut);
@@ -232,7 +233,7 @@
   f.machine.Apply(c.Encode());
   const std::uint64_t id = f.RequestOf("m1").id;
   CHECK(f.BringBack("m1").good);
-  f.machine.Apply(c.Encode());  // the same request, late
+  f.machine.Apply(c.Encode());  // a delayed duplicate of the same request
   CHECK(f.machine.RequestFor(Kind::kMachine, "m1") == nullptr);
   Command cancel;
   cancel.verb = Verb::kCancel;
@@ -251,7 +252,7 @@
   CHECK(f.order.size() == 1);
 }
 
-TEST_CASE("a new leader grants nothing until it can know who is dead") {
+TEST_CASE("a new leader grants nothing until it has had time to detect dead members") {
   Fleet f(RosterOf(3, 1, 1));
   f.RequestMaintenance("m0");
   MaintenanceScheduler fresh;
@@ -292,9 +293,10 @@
   }
 }
 
-// ---- at size ----
+// ---- large fleets ----
 
-// Work on all of so many, each brought back by staff once it is out; returns the rounds it took.
+// Requests maintenance of all members and brings each machine back once it is out. Returns the
+// number of rounds.
 std::size_t CompleteMaintenanceOfAll(std::size_t count, std::size_t slots,
                                      std::size_t& max_state_bytes) {
   Fleet f(RosterOf(count, slots, slots));
@@ -321,7 +323,7 @@
 TEST_CASE("three hundred members take turns, and the state fits into one frame") {
   std::size_t bytes = 0;
   const std::size_t rounds = CompleteMaintenanceOfAll(300, 30, bytes);
-  MESSAGE("300 members: " << rounds << " rounds, settled state " << bytes << " B at most");
+  MESSAGE("300 members: " << rounds << " rounds, maintenance state at most " << bytes << " B");
   CHECK(rounds <= 300 / 30 * 4 + 4);
   CHECK(bytes <= peers::kMaxFrameBytes / 2);
 }
--- a/tests/fleet/peers_test.cpp
+++ b/tests/fleet/peers_test.cpp
@@ -1,4 +1,4 @@
-// Frames, rosters, and the failure detector in a simulated cluster.
+// Tests of frames, of rosters, and of the failure detector in a simulated cluster.
 #include <doctest/doctest.h>
 #include <sys/stat.h>
 
@@ -45,7 +45,7 @@
   }
 }
 
-TEST_CASE("random bodies are counted as bad and cause no storm of frames") {
+TEST_CASE("random bodies are counted as bad and cause no flood of frames") {
   FailureDetector detector(SimulatedCluster(3, 1).timings, "m0", {"m0", "m1", "m2"}, 1, 1, 1);
   std::mt19937_64 random(5);
   for (int i = 0; i < 20000; ++i) {
@@ -91,7 +91,7 @@
   cluster.RunFor(seconds(3));
   cluster.Kill(1);
   cluster.RunFor(seconds(5));
-  cluster.Start(1, 1);  // an empty folder, or yesterday's
+  cluster.Start(1, 1);  // with an empty folder or an old copy
   cluster.RunFor(seconds(5));
   CHECK(cluster.StateOf(0, 1) == State::kAlive);
   CHECK(cluster.at(1).folder_is_stale());
@@ -133,7 +133,7 @@
   CHECK(cluster.at(1).peers().at("m0").link == Link::kTwoWay);
 }
 
-TEST_CASE("both sides of a partition declare the other dead, and find each other when it heals") {
+TEST_CASE("each side of a partition declares the other dead, and all are alive after it heals") {
   SimulatedCluster cluster(5, 6);
   cluster.RunFor(seconds(3));
   for (const std::size_t a : {0U, 1U}) {
@@ -160,7 +160,7 @@
   }
 }
 
-TEST_CASE("a flapping partition makes no member declare one on its own side dead") {
+TEST_CASE("a flapping partition makes no member declare a member on its own side dead") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SimulatedCluster cluster(5, seed);
     cluster.RunFor(seconds(3));
@@ -206,11 +206,11 @@
     cluster.RunFor(seconds(120));
     for (std::size_t i = 0; i < 5; ++i) deaths += cluster.CountDeaths(i);
   }
-  MESSAGE("wrong deaths in 10 minutes of five members: ", deaths);
+  MESSAGE("members wrongly declared dead in 10 minutes of five members: ", deaths);
   CHECK(deaths == 0);
 }
 
-// Bytes a second that each member of so many sends, once all have met.
+// Measures the bytes a second that each of `count` members sends, after `settle_time`.
 double BytesPerMember(std::size_t count, Time settle_time) {
   SimulatedCluster cluster(count, 9);
   cluster.RunFor(settle_time);
@@ -271,7 +271,7 @@
     "{name: \"n1\", hall: \"w\", peer: \"127.0.0.1:7401\"},\n"
     "{name: \"n2\", hall: \"e\", peer: \"127.0.0.1:7402\"},\n]\n";
 
-TEST_CASE("a roster is read, and each fault in one is reported with its place") {
+TEST_CASE("a roster is read, and each fault in it is reported with its position") {
   RosterFile file;
   const Roster roster = file.Read(RosterText(kMembers));
   CHECK(roster.members.size() == 3);
--- a/tests/fleet/quota_test.cpp
+++ b/tests/fleet/quota_test.cpp
@@ -1,5 +1,5 @@
-// Quota leases in virtual time: holders and a grantor over links that are cut, members that are
-// stopped or ended, leaders that change while the one before still believes that it leads.
+// Tests of quota leases in virtual time: holders and grantors with links that are cut, members that
+// are paused, and leader changes while the former leader still considers itself the leader.
 #include <doctest/doctest.h>
 
 #include <deque>
@@ -26,7 +26,7 @@
   return t;
 }
 
-// Members with clocks that run apart by the drift at most; all frames take 1 to 40 ms.
+// Members whose clocks drift apart by at most the configured drift; each frame takes 1 to 40 ms.
 class SimulatedCluster {
  public:
   SimulatedCluster(std::size_t count, std::uint64_t seed)
@@ -39,7 +39,8 @@
     }
     SetLeader(0);
   }
-  // From now on; whoever led before believes that it does for `former_leads_for`.
+  // Makes member `i` the leader from now on; former leaders still consider themselves the leader
+  // for `former_leads_for`.
   void SetLeader(std::size_t i, Time former_leads_for = {}) {
     for (std::size_t f = 0; f < members_.size(); ++f) {
       if (members_[f].leads && f != i) members_[f].leads_until = now + former_leads_for;
@@ -51,7 +52,7 @@
   }
   void Pause(std::size_t i) { members_[i].paused = true; }
   void Resume(std::size_t i) { members_[i].paused = false; }
-  // Frames between it and all others are lost.
+  // Drops all frames between member `i` and the others if `cut` is true.
   void Cut(std::size_t i, bool cut) { members_[i].cut = cut; }
 
   void RunFor(Time time) {
@@ -70,7 +71,7 @@
   }
   LeaseGrantor& grantor() { return members_[leader_].grantor; }
   LeaseHolder& holder(std::size_t i) { return members_[i].holder; }
-  // The most calls in any window of so long, above the limit times the window.
+  // The maximum number of calls in excess of limit x window in any time window of this length.
   double MaxExcess(Time window, double limit, Time from = {}) const {
     double most = 0;
     std::deque<Time> in;
@@ -84,7 +85,7 @@
   }
 
   LeaseSettings settings;
-  std::vector<double> demand_rates;  // calls a second, by member
+  std::vector<double> demand_rates;  // calls a second, one rate per member
   double reported = 0;               // with each call, if above 0
   std::vector<Time> call_starts;     // all calls
   Time now = seconds(5);
@@ -149,7 +150,7 @@
     }
     const auto request = m.holder.NextRequest(clock);
     if (!request) return;
-    // Whoever still believes in the old leader asks it, half of them.
+    // Half of the requests go to a former leader that still considers itself the leader.
     std::size_t leader = leader_;
     for (std::size_t f = 0; f < members_.size(); ++f) {
       if (f != leader_ && members_[f].leads && random_() % 2 == 0) leader = f;
@@ -173,7 +174,7 @@
   const std::size_t before = cluster.call_starts.size();
   cluster.RunFor(seconds(10));
   const double used = static_cast<double>(cluster.call_starts.size() - before) / 10;
-  CHECK(used > 0.85 * 10);  // the others have lent their floors
+  CHECK(used > 0.85 * 10);  // the others have lent their reserves
   CHECK(cluster.MaxExcess(seconds(1), 10) <= cluster.settings.MaxExcessCalls(10));
 }
 
@@ -190,8 +191,9 @@
   }
 }
 
-// Random cuts, stops, deaths of leaders, and old leaders that go on granting for as long as they
-// may.
+// Cuts links, pauses members and changes leaders at random; former leaders go on granting for as
+// long as they may. Returns the worst excess as a fraction of the bound, and bytes a second per
+// member.
 std::pair<double, double> RunRandomFaults(std::size_t members, std::uint64_t seed, int rounds) {
   SimulatedCluster cluster(members, seed);
   std::mt19937_64 random(seed);
@@ -228,7 +230,7 @@
   double worst = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed)
     worst = std::max(worst, RunRandomFaults(5, seed, 40).first);
-  MESSAGE("the worst came to " << worst << " of the bound");
+  MESSAGE("the worst excess is " << worst << " of the bound");
   CHECK(worst <= 1);
 }
 
@@ -250,7 +252,7 @@
   cluster.RunFor(seconds(10));
   const double floor = cluster.settings.FloorOf(6);
   CHECK(*cluster.holder(2).RateOf("d1", cluster.ClockOf(2)) == doctest::Approx(floor));
-  // What it may begin at once on waking is a burst of its floor: one call.
+  // After it resumes it may start one burst of its reserve at once, which is one call.
   std::size_t at_once = 0;
   while (cluster.holder(2).TryAcquire("d1", cluster.ClockOf(2))) ++at_once;
   CHECK(at_once == 1);
@@ -265,9 +267,9 @@
                        double lend, Time at) {
     return grantor.Answer(who, {number, had, {{"d1", {demand, 0, 0, lend}}}}, at);
   };
-  ask("idle", 1, 0, 0, 0.3, t);  // shows no answer: not granted from
+  ask("idle", 1, 0, 0, 0.3, t);  // names no answer, so nothing is granted from its reserve
   CHECK(ask("busy", 1, 0, 9, 0, t)->parts.at("d1").lease == doctest::Approx(4 * 0.1));
-  ask("idle", 2, 1, 0, 0.3, t + milliseconds(500));  // as young as the answer at t
+  ask("idle", 2, 1, 0, 0.3, t + milliseconds(500));  // lends from the answer at t on
   CHECK(ask("busy", 2, 1, 9, 0, t + milliseconds(600))->parts.at("d1").lease ==
         doctest::Approx(4 * 0.1 + 0.3));
   CHECK(ask("busy", 3, 2, 9, 0, t + settings.LentQuotaLifetime())->parts.at("d1").lease ==
@@ -290,7 +292,7 @@
   CHECK(cluster.MaxExcess(seconds(1), 4, lowered_by) <= cluster.settings.MaxExcessCalls(4));
 }
 
-TEST_CASE("one wrong report, of nothing or of a million, does not move the limit") {
+TEST_CASE("one wrong report, of almost zero or of a million, does not change the limit") {
   for (const double lie : {0.01, 1e6}) {
     LeaseSettings settings = SettingsFor(5);
     settings.listed.clear();
--- a/tests/fleet/raft_node_test.cpp
+++ b/tests/fleet/raft_node_test.cpp
@@ -1,4 +1,4 @@
-// Raft nodes in virtual time on stores in memory, and the store in files.
+// Tests of Raft nodes in virtual time with stores in memory, and of the store in files.
 #include "consensus/raft_node.hpp"
 
 #include <doctest/doctest.h>
@@ -20,7 +20,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Committed commands in their order.
+// State machine that lists the committed commands in order.
 class CommandList : public StateMachine {
  public:
   void Apply(std::string_view command) override { all.emplace_back(command); }
@@ -48,7 +48,8 @@
   bool paused = false;
 };
 
-// Voters on a simulated network: one seed, a tick of 5 ms, delays of 1 to 10 ms on each link.
+// Voters on a simulated network with one random seed, ticks of 5 ms, and delays of 1 to 10 ms on
+// each link.
 class SimulatedVoters {
  public:
   explicit SimulatedVoters(std::size_t count, std::uint64_t seed = 1) : random_(seed) {
@@ -71,7 +72,7 @@
     v.paused = false;
   }
   void Kill(const std::string& name) { voters_[name].raft_node.reset(); }
-  // The voter comes back with another id and an empty store.
+  // Replaces the voter's folder with an empty one that has a new id.
   void LoseFolder(const std::string& name) {
     voters_[name].store.Clear();
     voters_[name].id = ++last_id_;
@@ -126,7 +127,7 @@
     for (int i = 0; i < 400 && Leader().empty(); ++i) RunFor(milliseconds(50));
     return Leader();
   }
-  // Its outcome, once that is known.
+  // Returns the command's outcome, which is set once it is known.
   std::shared_ptr<std::optional<RaftNode::Outcome>> Propose(const std::string& to,
                                                             const std::string& command) {
     auto outcome = std::make_shared<std::optional<RaftNode::Outcome>>();
@@ -134,8 +135,8 @@
     Collect(to);
     return outcome;
   }
-  // Proposes to whoever leads until the command is committed. False if none leads for 20 s, or
-  // after 100 attempts.
+  // Proposes the command to the current leader until it is committed. Returns false if there is no
+  // leader for 20 s, or after 100 attempts.
   bool Commit(const std::string& command) {
     for (int i = 0; i < 100; ++i) {
       const std::string leader = AwaitLeader();
@@ -146,7 +147,7 @@
     }
     return false;
   }
-  // Of any two logs one is a prefix of the other.
+  // Checks that of any two command lists one is a prefix of the other.
   void CheckSameOrder() const {
     for (const auto& [a, one] : voters_) {
       for (const auto& [b, other] : voters_) {
@@ -262,23 +263,24 @@
   const std::string leader = cluster.Leader();
   std::string lost = leader == "v1" ? "v2" : "v1", last = "v0";
   if (leader == "v0") last = lost == "v1" ? "v2" : "v1";
-  // The only other copy of what is settled goes away, and the one that held it has forgotten.
+  // `last` misses the command "two". `lost` stores it and then loses its folder, so that only the
+  // leader still has it.
   cluster.Kill(last);
   cluster.RunFor(milliseconds(50));
-  REQUIRE(cluster.Commit("two"));  // by the leader and the one that will lose it
+  REQUIRE(cluster.Commit("two"));  // by the leader and `lost`
   cluster.Kill(leader);
   cluster.Kill(lost);
   cluster.LoseFolder(lost);
   cluster.Start(lost);
   cluster.Start(last);
   cluster.RunFor(seconds(20));
-  CHECK(cluster.Leader().empty());  // the two must not settle anything without "two"
+  CHECK(cluster.Leader().empty());  // `lost` and `last` must not commit anything without "two"
   cluster.Start(leader);
   REQUIRE(cluster.Commit("three"));
   cluster.RunFor(seconds(10));
   cluster.CheckSameOrder();
   CHECK(cluster.at(lost).list.all == std::vector<std::string>{"one", "two", "three"});
-  // Let in again, under its new id, it votes.
+  // After it was added again under its new id, it is a voter.
   bool votes = false;
   for (const Server& server : cluster.at(cluster.Leader()).raft_node->servers()) {
     votes |= server.name == lost && server.id == cluster.at(lost).id && server.role == 1;
@@ -320,7 +322,7 @@
           break;
         case 3:
           if (random() % 6 == 0 && cluster.now - lost_at > seconds(30) && lost < 3) {
-            // One folder at a time, and never before the last was let in again.
+            // Only one folder is lost at a time, after the previous voter was added again.
             cluster.Heal();
             for (int i = 0; i < 5; ++i) {
               const std::string each = "v" + std::to_string(i);
@@ -381,7 +383,7 @@
   cluster.at(full).store.works = false;
   REQUIRE(cluster.Commit("two"));
   cluster.RunFor(seconds(3));
-  // Its owner waits for nothing: a tick that lay in the past kept a core busy.
+  // The next tick must not be in the past: the caller would spin and keep a core busy.
   REQUIRE(cluster.at(full).raft_node->broken());
   CHECK(cluster.at(full).raft_node->Next() > cluster.now);
   cluster.at(full).store.works = true;
@@ -434,7 +436,7 @@
         break;
       }
       case 4: {
-        // Never below the snapshot: what is in it is settled.
+        // Never truncates below the snapshot, because the entries in it are committed.
         const std::uint64_t settled = kept.snapshot ? kept.snapshot->index + 1 : kept.first;
         const std::uint64_t least = std::max(kept.first, settled);
         const std::uint64_t from = least + random() % (kept.last() + 2 - least);
--- a/tests/fleet/rehearsals_test.py
+++ b/tests/fleet/rehearsals_test.py
@@ -1,4 +1,4 @@
-"""Rehearsals of fleets, with faults between the processes."""
+"""Runs rehearsals of fleets with faults between the processes."""
 
 import concurrent.futures
 import os
@@ -9,13 +9,13 @@
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 PROGRAM = os.environ["BRASSFRONT"]
-ATTEMPTS = 3  # of one that was void
+ATTEMPTS = 3  # a rehearsal is void, and repeated, if its simulated parties were late
 TIMEOUT_SECONDS = 240
 PARALLEL_RUNS = 4
 
 
 class FleetRehearsalsTest(unittest.TestCase):
-    # One name a line; bench/fleet_repeats plays the same.
+    # The file has one name per line; bench/fleet_repeats plays the same rehearsals.
     SHORT_SET = (ROOT / "rehearsals" / "fleet-short-set.txt").read_text().split()
 
     def setUp(self):
--- a/tests/fleet/sharing_test.cpp
+++ b/tests/fleet/sharing_test.cpp
@@ -1,5 +1,5 @@
-// Sharing between peer frames, the quota and health-report cores and the call observer, in virtual
-// time.
+// Tests of Sharing, which connects peer frames, quota, health reports and the call observer, in
+// virtual time.
 #include "fleet/sharing.hpp"
 
 #include <doctest/doctest.h>
@@ -34,7 +34,8 @@
   return frame;
 }
 
-// The grant that a member gets when it requests a lease now; none: it gets no reply.
+// Returns the grant that a member receives when it requests a lease now; nullopt if there is no
+// reply.
 std::optional<quota::LeaseGrant> RequestLease(Sharing& sharing, const char* from,
                                               std::uint64_t number, Time now) {
   sharing.TakeFrames();
@@ -61,7 +62,7 @@
   REQUIRE(grant);
   CHECK(grant->leases);
   CHECK(grant->parts.at("d1").lease > 0);
-  // It resumes, and still believes that it is the leader.
+  // The leader resumes after a suspension and still considers itself the leader.
   sharing.Tick(true, seconds(24));
   const auto late_grant = RequestLease(sharing, "b", 3, seconds(24));
   REQUIRE(late_grant);
@@ -70,7 +71,7 @@
   CHECK_FALSE(RequestLease(sharing, "b", 4, seconds(24)));
 }
 
-TEST_CASE("a lease grant is accepted only from the member that was asked for it") {
+TEST_CASE("a lease grant is accepted only from the member to which the request was sent") {
   Sharing sharing(MakeRoster(), "b", 1);
   const auto rate = [&](Time now) {
     const std::string text = sharing.LimitsJson(now);
--- a/tests/fleet/simulated_cluster.hpp
+++ b/tests/fleet/simulated_cluster.hpp
@@ -1,7 +1,7 @@
 // A simulated cluster of failure detectors in virtual time: no threads, no sockets, no clock.
-// Frames travel through a queue with the delay, jitter, loss and duplication of a link; links are
-// cut one way, and members are paused, ended and restarted. One seed: the same seed and the same
-// calls give the same run, frame by frame.
+// Frames are queued with the delay, jitter, loss and duplication of a link. Links can be cut in one
+// direction, and members paused, killed and restarted. The same seed and the same calls reproduce
+// the same run, frame by frame.
 #ifndef BRASSFRONT_TESTS_FLEET_SIMULATED_CLUSTER_HPP_
 #define BRASSFRONT_TESTS_FLEET_SIMULATED_CLUSTER_HPP_
 
@@ -22,30 +22,30 @@
 
 class SimulatedCluster {
  public:
-  // Of every link. Probabilities from 0 to 1.
+  // Faults of every link. The probabilities are from 0 to 1.
   struct LinkFault {
     double loss = 0, duplication = 0;
     Time delay = std::chrono::microseconds(200), jitter{};
   };
 
-  // Members m0, m1, ... are started in their first process incarnation.
+  // Starts the members m0, m1, ... in their first process incarnation.
   SimulatedCluster(std::size_t count, std::uint64_t seed) : random_(seed) {
     for (std::size_t i = 0; i < count; ++i) names_.push_back("m" + std::to_string(i));
     for (std::size_t i = 0; i < count; ++i) Start(i, 1);
   }
 
-  // A new process of member `i`, which has been ended before.
+  // Starts a new process of member `i`, whose former process was killed.
   void Start(std::size_t i, std::uint64_t process_incarnation) {
     members_[names_[i]] = std::make_unique<FailureDetector>(timings, names_[i], names_, 1000 + i,
                                                             process_incarnation, random_());
     Resume(i);
   }
-  // Kills the process: no good-bye.
+  // Kills the process, which does not announce that it leaves.
   void Kill(std::size_t i) {
     members_.erase(names_[i]);
     ScheduleTick(names_[i]);
   }
-  // Pauses the process: its timers do not run, and its datagrams wait in the socket.
+  // Pauses the process: its timers do not run, and its datagrams stay in the socket.
   void Pause(std::size_t i) {
     paused_.insert(names_[i]);
     ScheduleTick(names_[i]);
@@ -55,7 +55,7 @@
     paused_.erase(names_[i]);
     ScheduleTick(names_[i]);
   }
-  // Drops all frames in this one direction, or no more (`cut` false).
+  // Drops all frames in this direction; if `cut` is false, stops dropping them.
   void Cut(std::size_t from, std::size_t to, bool cut = true) {
     if (cut) {
       cut_.insert({names_[from], names_[to]});
@@ -64,12 +64,12 @@
     }
   }
   FailureDetector& at(std::size_t i) { return *members_.at(names_[i]); }
-  // The state in which `observer` holds `subject`.
+  // The state of `subject` according to `observer`.
   State StateOf(std::size_t observer, std::size_t subject) {
     return at(observer).peers().at(names_[subject]).state;
   }
 
-  // Delivers frames and runs timers in their order, for so much virtual time.
+  // Delivers frames and runs timers in order, for `time` of virtual time.
   void RunFor(Time time) {
     const Time until = now + time;
     while (now < until) {
@@ -88,7 +88,7 @@
     std::string by;
     FailureDetector::Change change;
   };
-  // Times that some member has declared member `i` dead.
+  // Counts how often members have declared member `i` dead.
   std::size_t CountDeaths(std::size_t i) const {
     std::size_t count = 0;
     for (const ReportedChange& reported : changes) {
@@ -108,14 +108,14 @@
   LinkFault fault;
   Time now = std::chrono::seconds(1);
   std::vector<ReportedChange> changes;
-  std::uint64_t frames = 0, bytes = 0;  // sent, those that were lost included
+  std::uint64_t frames = 0, bytes = 0;  // sent, including lost ones
 
  private:
   struct FrameInFlight {
     Time at;
-    std::uint64_t number;  // frames of one time arrive in the order in which they were sent
+    std::uint64_t number;  // frames due at the same time arrive in the order they were sent
     std::shared_ptr<const Frame> frame;
-    // The earliest one is the greatest, and so on top of a std::priority_queue.
+    // The earliest frame compares as the greatest, so it is at the top of a std::priority_queue.
     bool operator<(const FrameInFlight& other) const {
       return std::tie(other.at, other.number) < std::tie(at, number);
     }
@@ -144,7 +144,7 @@
     Collect(member, name);
   }
 
-  // Schedules the member's next tick, or none where it is ended or paused.
+  // Schedules the member's next tick, or none if the member was killed or paused.
   void ScheduleTick(const std::string& name) {
     if (const auto it = due_at_.find(name); it != due_at_.end()) due_.erase({it->second, name});
     due_at_.erase(name);
@@ -155,7 +155,7 @@
     due_at_[name] = next;
   }
 
-  // Sends what the member has to send and notes its changes.
+  // Sends the member's outgoing frames and records its changes.
   void Collect(FailureDetector& member, const std::string& name) {
     ScheduleTick(name);
     for (Frame& frame : member.TakeFrames()) {
@@ -174,7 +174,7 @@
     for (FailureDetector::Change& change : member.TakeChanges())
       changes.push_back({now, name, change});
   }
-  static constexpr std::size_t kHeadBytes = 4 + 2 + 3 + 4 + 16 + 32;  // of a frame in fleet "test"
+  static constexpr std::size_t kHeadBytes = 4 + 2 + 3 + 4 + 16 + 32;  // in a fleet named "test"
 
   double Chance() { return static_cast<double>(random_() % 1000000) / 1e6; }
 
--- a/tests/fleet/verdicts_test.cpp
+++ b/tests/fleet/verdicts_test.cpp
@@ -1,4 +1,4 @@
-// Health reports: merged in any order, expired, counted, and checked against own calls.
+// Tests of health reports: merging in any order, expiry, counting, and comparison with own calls.
 #include <doctest/doctest.h>
 
 #include <random>
@@ -42,7 +42,7 @@
   c.table.Receive("a", from_a, seconds(2));
   CHECK(c.Advised(What::kDown) == 1);
   c.table.Receive("a", from_a, seconds(2));
-  CHECK(c.Advised(What::kDown) == 0);  // the same again
+  CHECK(c.Advised(What::kDown) == 0);  // a duplicate
   c.table.Receive("b", from_b, seconds(2));
   CHECK(c.Advised(What::kDown) == 2);
 }
@@ -80,7 +80,7 @@
   CHECK_FALSE(c.table.Counts("a", now));
   CHECK(c.table.WitnessesOf("e0", ObservedState::kDown, now) == 0);
   CHECK(c.table.Counts("a", now + kDistrustDuration));
-  // An honest one: it was down, and it came back.
+  // A correct witness: the endpoint was down and recovered later.
   Member d("d"), b("b");
   d.table.Receive("b", b.Down(seconds(10)), seconds(10));
   for (int i = 0; i < 20; ++i) d.table.Answered("e0", seconds(10 + i), seconds(10 + i));
