--- a/src/maintenance/maintenance_scheduler.cpp
+++ b/src/maintenance/maintenance_scheduler.cpp
@@ -10,7 +10,7 @@
   return state == peers::State::kDead || state == peers::State::kLeft;
 }
 
-bool IsThere(peers::State state) {
+bool IsPresent(peers::State state) {
   return state == peers::State::kAlive || state == peers::State::kSuspect;
 }
 
@@ -85,7 +85,7 @@
     command.verb = Verb::kDead;
     if (IsGone(observed.state) && !member.dead) return command;
     command.verb = Verb::kAlive;
-    if (IsThere(observed.state) &&
+    if (IsPresent(observed.state) &&
         (member.dead || observed.process_incarnation > member.process_incarnation)) {
       return command;
     }
--- a/src/maintenance/maintenance_state.hpp
+++ b/src/maintenance/maintenance_state.hpp
@@ -39,7 +39,7 @@
   kCancelled
 };
 [[nodiscard]] const char* ToString(State state);
-[[nodiscard]] inline bool IsOver(State state) {
+[[nodiscard]] inline bool IsFinal(State state) {
   return state == State::kBack || state == State::kCancelled;
 }
 
@@ -62,7 +62,7 @@
   std::map<std::string, std::uint64_t> confirmed;
 
   [[nodiscard]] bool HoldsSlot() const {
-    return kind == Kind::kMachine && state != State::kRequested && !IsOver(state);
+    return kind == Kind::kMachine && state != State::kRequested && !IsFinal(state);
   }
 };
 
--- a/src/quota/lease_grantor.cpp
+++ b/src/quota/lease_grantor.cpp
@@ -56,19 +56,19 @@
 // the others share the remainder evenly.
 double LeaseGrantor::FairShare(const Limit& limit, const std::string& holder, double pool,
                                double floor, Time now) const {
-  std::vector<double> wants;
+  std::vector<double> excess_demands;
   double ours = 0;
   for (const auto& [who, claim] : limit.demands) {
     if (now - claim.at > settings_.term) continue;
-    const double want = std::max(0.0, claim.rate - floor);
-    if (who == holder) ours = want;
-    wants.push_back(want);
+    const double excess = std::max(0.0, claim.rate - floor);
+    if (who == holder) ours = excess;
+    excess_demands.push_back(excess);
   }
-  std::sort(wants.begin(), wants.end());
-  for (std::size_t i = 0; i < wants.size(); ++i) {
-    const double level = pool / static_cast<double>(wants.size() - i);
-    if (wants[i] > level) return std::min(ours, level);
-    pool -= wants[i];
+  std::sort(excess_demands.begin(), excess_demands.end());
+  for (std::size_t i = 0; i < excess_demands.size(); ++i) {
+    const double level = pool / static_cast<double>(excess_demands.size() - i);
+    if (excess_demands[i] > level) return std::min(ours, level);
+    pool -= excess_demands[i];
   }
   return ours;
 }
--- a/src/quota/lease_settings.hpp
+++ b/src/quota/lease_settings.hpp
@@ -69,9 +69,11 @@
     return static_cast<double>(members) + limit * SecondsOf(burst);
   }
   // Maximum time after a limit was lowered in which calls may start at the old rate, that is, until
-  // every lease granted under the old limit has expired. `unheard` is the time until the grantor
-  // learns of the new limit.
-  [[nodiscard]] Time MaxTimeAtOldRate(Time unheard) const { return unheard + Stretched(term); }
+  // every lease granted under the old limit has expired. `detection_delay` is the time until the
+  // grantor learns of the new limit.
+  [[nodiscard]] Time MaxTimeAtOldRate(Time detection_delay) const {
+    return detection_delay + Stretched(term);
+  }
 };
 
 // The key of a limit in frames and reports, for a destination or for an endpoint that has a
--- a/src/quota/messages.cpp
+++ b/src/quota/messages.cpp
@@ -14,10 +14,10 @@
 constexpr double kMaxRate = 1e6;  // calls a second; larger rates are reduced to this one
 
 // Converts to thousandths, rounded down, so that the parts do not add up to more than the total.
-std::uint64_t Milli(double rate) {
+std::uint64_t ToThousandths(double rate) {
   return static_cast<std::uint64_t>(std::floor(std::clamp(rate, 0.0, kMaxRate) * 1e3));
 }
-double FromMilli(std::uint64_t milli) {
+double FromThousandths(std::uint64_t milli) {
   return std::min(static_cast<double>(milli) / 1e3, kMaxRate);
 }
 
@@ -28,10 +28,10 @@
   out.U64(number).U64(last_answered).U16(requests.size());
   for (const auto& [key, wanted] : requests) {
     out.Name(key)
-        .U32(Milli(wanted.demand))
-        .U32(Milli(wanted.keep))
-        .U32(Milli(wanted.reported))
-        .U32(Milli(wanted.lend));
+        .U32(ToThousandths(wanted.demand))
+        .U32(ToThousandths(wanted.keep))
+        .U32(ToThousandths(wanted.reported))
+        .U32(ToThousandths(wanted.lend));
   }
   return out.Take();
 }
@@ -44,10 +44,10 @@
   const std::size_t count = in.U16();
   for (std::size_t i = 0; i < count && !in.broken(); ++i) {
     LeaseRequest& wanted = request.requests[in.Name()];
-    wanted.demand = FromMilli(in.U32());
-    wanted.keep = FromMilli(in.U32());
-    wanted.reported = FromMilli(in.U32());
-    wanted.lend = FromMilli(in.U32());
+    wanted.demand = FromThousandths(in.U32());
+    wanted.keep = FromThousandths(in.U32());
+    wanted.reported = FromThousandths(in.U32());
+    wanted.lend = FromThousandths(in.U32());
   }
   if (!in.done() || count > kMaxKeysPerMessage) return std::nullopt;
   return request;
@@ -56,7 +56,8 @@
 std::string LeaseGrant::Encode() const {
   Writer out;
   out.U64(number).U8(leases).U16(parts.size());
-  for (const auto& [key, part] : parts) out.Name(key).U32(Milli(part.limit)).U32(Milli(part.lease));
+  for (const auto& [key, part] : parts)
+    out.Name(key).U32(ToThousandths(part.limit)).U32(ToThousandths(part.lease));
   return out.Take();
 }
 
@@ -68,8 +69,8 @@
   const std::size_t count = in.U16();
   for (std::size_t i = 0; i < count && !in.broken(); ++i) {
     GrantedLease& part = grant.parts[in.Name()];
-    part.limit = FromMilli(in.U32());
-    part.lease = FromMilli(in.U32());
+    part.limit = FromThousandths(in.U32());
+    part.lease = FromThousandths(in.U32());
   }
   if (!in.done() || count > kMaxKeysPerMessage) return std::nullopt;
   return grant;
