--- a/src/fleet/health_traffic.hpp
+++ b/src/fleet/health_traffic.hpp
@@ -27,7 +27,7 @@
   // Records the evidence that one of this member's calls gives about its endpoint.
   void OnCallCompleted(const CallCompleted& call, Time now);
 
-  // Handles a frame of kind kWords.
+  // Handles a frame of kind kHealthReports.
   void Receive(const peers::Frame& frame, Time now);
   // Sets the members that are alive or suspect, including this one.
   void SetPresent(std::vector<std::string> present) { table_.SetPresent(std::move(present)); }
--- a/src/fleet/lease_traffic.hpp
+++ b/src/fleet/lease_traffic.hpp
@@ -41,8 +41,8 @@
   // suspended for longer than the election timeout may have lost leadership without noticing. It
   // starts over as a new grantor, which at first grants nothing.
   void SetLeadership(bool leads, Time now);
-  // Handles a frame of kind kWant or kGrant. A grant is accepted only from the member that the last
-  // request was sent to.
+  // Handles a frame of kind kLeaseRequest or kLeaseGrant. A grant is accepted only from the member
+  // that the last request was sent to.
   void Receive(const peers::Frame& frame, Time now, std::vector<OutgoingFrame>& out);
   // Sends a request for leases if one is due. `leader` is empty if no leader is known.
   void RequestLeases(const std::string& leader, Time now, std::vector<OutgoingFrame>& out);
--- a/src/fleet/replicated_log.hpp
+++ b/src/fleet/replicated_log.hpp
@@ -45,7 +45,7 @@
   void Tick(Time now);
   [[nodiscard]] Time Next() const;
 
-  // Handles a frame of kind kSettled or kFound.
+  // Handles a frame of kind kRaftMessage or kBootstrap.
   void Receive(const peers::Frame& frame, Time now);
   [[nodiscard]] std::vector<consensus::RaftNode::Message> TakeMessages();
   // To be called only on the leader. `done` is called once, during this call or a later one.
--- a/src/fleet/sharing.hpp
+++ b/src/fleet/sharing.hpp
@@ -39,7 +39,7 @@
   // To be called first in each iteration of the fleet's loop, before frames are received. `leads`:
   // whether this member leads the replicated log.
   void Tick(bool leads, Time now);
-  // Handles a frame of kind kWant, kGrant or kWords.
+  // Handles a frame of kind kLeaseRequest, kLeaseGrant or kHealthReports.
   void Receive(const peers::Frame& frame, Time now);
   // Requests leases and sends reports when they are due. `leader` is empty if none is known;
   // `present` contains the members that are alive or suspect, including this one.
--- a/src/fleet/state_messages.hpp
+++ b/src/fleet/state_messages.hpp
@@ -1,5 +1,5 @@
-// Codec of the frames of kind kNews. With them, a member that does not replicate the log receives
-// the committed state, and the leader learns how many messages each member has in flight.
+// Codec of the frames of kind kReplicatedState. With them, a member that does not replicate the log
+// receives the committed state, and the leader learns how many messages each member has in flight.
 //
 //   request: 1 u8 | revision u64 | messages in flight u64
 //   update:  2 u8 | revision u64 | leader: name | state: text
--- a/tests/fleet/raft_node_test.cpp
+++ b/tests/fleet/raft_node_test.cpp
@@ -1,4 +1,4 @@
-// Raft nodes in virtual time on stores in memory, and the store in files.
+// Tests of Raft nodes in virtual time with stores in memory, and of the store in files.
 #include "consensus/raft_node.hpp"
 
 #include <doctest/doctest.h>
@@ -20,7 +20,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Committed commands in their order.
+// State machine that lists the committed commands in order.
 class CommandList : public StateMachine {
  public:
   void Apply(std::string_view command) override { all.emplace_back(command); }
@@ -45,10 +45,11 @@
   MemoryStore store;
   CommandList list;
   std::unique_ptr<RaftNode> raft_node;
-  bool stopped = false;
+  bool paused = false;
 };
 
-// Voters on a simulated network: one seed, a tick of 5 ms, delays of 1 to 10 ms on each link.
+// Voters on a simulated network with one random seed, ticks of 5 ms, and delays of 1 to 10 ms on
+// each link.
 class SimulatedVoters {
  public:
   explicit SimulatedVoters(std::size_t count, std::uint64_t seed = 1) : random_(seed) {
@@ -68,10 +69,10 @@
     options.seed = random_();
     v.raft_node = std::make_unique<RaftNode>(options, v.store, v.list);
     v.raft_node->AllowVoting();
-    v.stopped = false;
+    v.paused = false;
   }
   void Kill(const std::string& name) { voters_[name].raft_node.reset(); }
-  // The voter comes back with another id and an empty store.
+  // Replaces the voter's folder with an empty one that has a new id.
   void LoseFolder(const std::string& name) {
     voters_[name].store.Clear();
     voters_[name].id = ++last_id_;
@@ -98,13 +99,13 @@
       });
       for (MessageInFlight& f : due) {
         Voter& to = voters_[f.message.to];
-        if (to.raft_node == nullptr || to.stopped) continue;
-        to.raft_node->Receive(f.from, f.id, f.message.founding, f.message.body, now);
+        if (to.raft_node == nullptr || to.paused) continue;
+        to.raft_node->Receive(f.from, f.id, f.message.is_bootstrap, f.message.body, now);
         Collect(f.message.to);
       }
       for (const std::string& name : names_) {
         Voter& v = voters_[name];
-        if (v.raft_node == nullptr || v.stopped) continue;
+        if (v.raft_node == nullptr || v.paused) continue;
         v.raft_node->Tick(now);
         Collect(name);
       }
@@ -115,7 +116,7 @@
     std::string leader;
     std::uint64_t term = 0;
     for (const auto& [name, v] : voters_) {
-      if (v.raft_node && !v.stopped && v.raft_node->leads() && v.raft_node->term() > term) {
+      if (v.raft_node && !v.paused && v.raft_node->leads() && v.raft_node->term() > term) {
         leader = name;
         term = v.raft_node->term();
       }
@@ -126,7 +127,7 @@
     for (int i = 0; i < 400 && Leader().empty(); ++i) RunFor(milliseconds(50));
     return Leader();
   }
-  // Its outcome, once that is known.
+  // Returns the command's outcome, which is set once it is known.
   std::shared_ptr<std::optional<RaftNode::Outcome>> Propose(const std::string& to,
                                                             const std::string& command) {
     auto outcome = std::make_shared<std::optional<RaftNode::Outcome>>();
@@ -134,19 +135,19 @@
     Collect(to);
     return outcome;
   }
-  // Proposes to whoever leads until the command is committed. False if none leads for 20 s, or
-  // after 100 attempts.
+  // Proposes the command to the current leader until it is committed. Returns false if there is no
+  // leader for 20 s, or after 100 attempts.
   bool Commit(const std::string& command) {
     for (int i = 0; i < 100; ++i) {
       const std::string leader = AwaitLeader();
       if (leader.empty()) return false;
       const auto outcome = Propose(leader, command);
       for (int k = 0; k < 40 && !outcome->has_value(); ++k) RunFor(milliseconds(50));
-      if (*outcome == RaftNode::Outcome::kSettled) return true;
+      if (*outcome == RaftNode::Outcome::kApplied) return true;
     }
     return false;
   }
-  // Of any two logs one is a prefix of the other.
+  // Checks that of any two command lists one is a prefix of the other.
   void CheckSameOrder() const {
     for (const auto& [a, one] : voters_) {
       for (const auto& [b, other] : voters_) {
@@ -245,13 +246,13 @@
   SimulatedVoters cluster(3, 11);
   REQUIRE(cluster.Commit("one"));
   const std::string old = cluster.Leader();
-  cluster.at(old).stopped = true;
+  cluster.at(old).paused = true;
   cluster.RunFor(seconds(5));
   REQUIRE(cluster.Commit("two"));
-  cluster.at(old).stopped = false;
+  cluster.at(old).paused = false;
   const auto late = cluster.Propose(old, "late");
   cluster.RunFor(seconds(5));
-  CHECK(*late != RaftNode::Outcome::kSettled);
+  CHECK(*late != RaftNode::Outcome::kApplied);
   cluster.CheckSameOrder();
   CHECK(cluster.at(old).list.all == std::vector<std::string>{"one", "two"});
 }
@@ -262,23 +263,24 @@
   const std::string leader = cluster.Leader();
   std::string lost = leader == "v1" ? "v2" : "v1", last = "v0";
   if (leader == "v0") last = lost == "v1" ? "v2" : "v1";
-  // The only other copy of what is settled goes away, and the one that held it has forgotten.
+  // `last` misses the command "two". `lost` stores it and then loses its folder, so that only the
+  // leader still has it.
   cluster.Kill(last);
   cluster.RunFor(milliseconds(50));
-  REQUIRE(cluster.Commit("two"));  // by the leader and the one that will lose it
+  REQUIRE(cluster.Commit("two"));  // by the leader and `lost`
   cluster.Kill(leader);
   cluster.Kill(lost);
   cluster.LoseFolder(lost);
   cluster.Start(lost);
   cluster.Start(last);
   cluster.RunFor(seconds(20));
-  CHECK(cluster.Leader().empty());  // the two must not settle anything without "two"
+  CHECK(cluster.Leader().empty());  // `lost` and `last` must not commit anything without "two"
   cluster.Start(leader);
   REQUIRE(cluster.Commit("three"));
   cluster.RunFor(seconds(10));
   cluster.CheckSameOrder();
   CHECK(cluster.at(lost).list.all == std::vector<std::string>{"one", "two", "three"});
-  // Let in again, under its new id, it votes.
+  // After it was added again under its new id, it is a voter.
   bool votes = false;
   for (const Server& server : cluster.at(cluster.Leader()).raft_node->servers()) {
     votes |= server.name == lost && server.id == cluster.at(lost).id && server.role == 1;
@@ -303,7 +305,7 @@
     SimulatedVoters cluster(5, seed);
     std::mt19937_64 random(seed);
     REQUIRE_FALSE(cluster.AwaitLeader().empty());
-    std::vector<std::pair<std::string, std::shared_ptr<std::optional<RaftNode::Outcome>>>> asked;
+    std::vector<std::pair<std::string, std::shared_ptr<std::optional<RaftNode::Outcome>>>> proposed;
     const auto name = [&] { return "v" + std::to_string(random() % 5); };
     std::size_t lost = 0;
     Time lost_at{};
@@ -313,18 +315,18 @@
           cluster.Kill(name());
           break;
         case 1:
-          cluster.at(name()).stopped = true;
+          cluster.at(name()).paused = true;
           break;
         case 2:
           cluster.Cut(name(), name());
           break;
         case 3:
           if (random() % 6 == 0 && cluster.now - lost_at > seconds(30) && lost < 3) {
-            // One folder at a time, and never before the last was let in again.
+            // Only one folder is lost at a time, after the previous voter was added again.
             cluster.Heal();
             for (int i = 0; i < 5; ++i) {
               const std::string each = "v" + std::to_string(i);
-              cluster.at(each).stopped = false;
+              cluster.at(each).paused = false;
               if (cluster.at(each).raft_node == nullptr) cluster.Start(each);
             }
             cluster.RunFor(seconds(10));
@@ -343,14 +345,14 @@
         case 5: {
           const std::string who = name();
           if (cluster.at(who).raft_node == nullptr) cluster.Start(who);
-          cluster.at(who).stopped = false;
+          cluster.at(who).paused = false;
           break;
         }
         default: {
           const std::string leader = cluster.Leader();
           if (leader.empty()) break;
           const std::string command = "c" + std::to_string(step);
-          asked.emplace_back(command, cluster.Propose(leader, command));
+          proposed.emplace_back(command, cluster.Propose(leader, command));
         }
       }
       cluster.RunFor(milliseconds(random() % 900));
@@ -359,17 +361,17 @@
     cluster.Heal();
     for (int i = 0; i < 5; ++i) {
       const std::string each = "v" + std::to_string(i);
-      cluster.at(each).stopped = false;
+      cluster.at(each).paused = false;
       if (cluster.at(each).raft_node == nullptr) cluster.Start(each);
     }
     REQUIRE(cluster.Commit("end"));
     cluster.RunFor(seconds(10));
     cluster.CheckSameOrder();
     const auto& all = cluster.at(cluster.Leader()).list.all;
-    for (const auto& [command, outcome] : asked) {
+    for (const auto& [command, outcome] : proposed) {
       const auto times = std::count(all.begin(), all.end(), command);
       CHECK(times <= 1);
-      if (*outcome == RaftNode::Outcome::kSettled) CHECK(times == 1);
+      if (*outcome == RaftNode::Outcome::kApplied) CHECK(times == 1);
     }
   }
 }
@@ -381,7 +383,7 @@
   cluster.at(full).store.works = false;
   REQUIRE(cluster.Commit("two"));
   cluster.RunFor(seconds(3));
-  // Its owner waits for nothing: a tick that lay in the past kept a core busy.
+  // The next tick must not be in the past: the caller would spin and keep a core busy.
   REQUIRE(cluster.at(full).raft_node->broken());
   CHECK(cluster.at(full).raft_node->Next() > cluster.now);
   cluster.at(full).store.works = true;
@@ -434,7 +436,7 @@
         break;
       }
       case 4: {
-        // Never below the snapshot: what is in it is settled.
+        // Never truncates below the snapshot, because the entries in it are committed.
         const std::uint64_t settled = kept.snapshot ? kept.snapshot->index + 1 : kept.first;
         const std::uint64_t least = std::max(kept.first, settled);
         const std::uint64_t from = least + random() % (kept.last() + 2 - least);
@@ -474,10 +476,10 @@
     REQUIRE(store.SetVote(9));
     REQUIRE(store.Append({{3, 1, "one"}, {3, 1, "two"}}));
   }
-  const std::string whole = folder.Read("settled");
+  const std::string intact_log = folder.Read("settled");
   std::size_t cut_votes = 0;
-  for (std::size_t length = 0; length < whole.size(); ++length) {
-    folder.Write("settled", whole.substr(0, length));
+  for (std::size_t length = 0; length < intact_log.size(); ++length) {
+    folder.Write("settled", intact_log.substr(0, length));
     FileStore store(folder.path.string());
     const PersistentState kept = store.Load(damaged);
     CHECK_FALSE(damaged);
@@ -486,8 +488,8 @@
     CHECK(store.Load(damaged).vote == 5);
   }
   CHECK(cut_votes > 0);
-  for (std::size_t bit = 0; bit < whole.size() * 8; ++bit) {
-    std::string flipped = whole;
+  for (std::size_t bit = 0; bit < intact_log.size() * 8; ++bit) {
+    std::string flipped = intact_log;
     flipped[bit / 8] = static_cast<char>(flipped[bit / 8] ^ (1 << (bit % 8)));
     folder.Write("settled", flipped);
     FileStore store(folder.path.string());
--- a/tests/fleet/rehearsals_test.py
+++ b/tests/fleet/rehearsals_test.py
@@ -1,4 +1,4 @@
-"""Rehearsals of fleets, with faults between the processes."""
+"""Runs rehearsals of fleets with faults between the processes."""
 
 import concurrent.futures
 import os
@@ -9,13 +9,13 @@
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 PROGRAM = os.environ["BRASSFRONT"]
-TURNS = 3  # of one that was void
-LIMIT = 240  # s
-AT_ONCE = 4
+ATTEMPTS = 3  # a rehearsal is void, and repeated, if its simulated parties were late
+TIMEOUT_SECONDS = 240
+PARALLEL_RUNS = 4
 
 
 class FleetRehearsalsTest(unittest.TestCase):
-    # One name a line; bench/fleet_repeats plays the same.
+    # The file has one name per line; bench/fleet_repeats plays the same rehearsals.
     SHORT_SET = (ROOT / "rehearsals" / "fleet-short-set.txt").read_text().split()
 
     def setUp(self):
@@ -24,8 +24,8 @@
         self.folder = pathlib.Path(folder.name)
 
     def rehearse(self, name):
-        for turn in range(TURNS):
-            out = self.folder / ("%s-%d" % (name, turn))
+        for attempt in range(ATTEMPTS):
+            out = self.folder / ("%s-%d" % (name, attempt))
             scenario = ROOT / "rehearsals" / (name + ".rehearsal")
             done = subprocess.run(
                 [
@@ -39,14 +39,14 @@
                 ],
                 capture_output=True,
                 text=True,
-                timeout=LIMIT,
+                timeout=TIMEOUT_SECONDS,
             )
             if done.returncode != 3:  # void
                 break
         return name, done.returncode, done.stdout + done.stderr
 
     def test_the_short_set_of_rehearsals_passes(self):
-        with concurrent.futures.ThreadPoolExecutor(AT_ONCE) as pool:
+        with concurrent.futures.ThreadPoolExecutor(PARALLEL_RUNS) as pool:
             for name, status, text in pool.map(self.rehearse, self.SHORT_SET):
                 self.assertEqual(status, 0, "%s\n%s" % (name, text))
 
