--- a/src/cli/rehearse.cpp
+++ b/src/cli/rehearse.cpp
@@ -107,15 +107,15 @@
     options.progress = [](const std::string& line) { std::cerr << line << "\n"; };
   }
   const rehearsal::CampaignResult result = rehearsal::PlayCampaign(options);
-  std::cout << result.kept << " kept, " << result.broken << " broken, " << result.voided
+  std::cout << result.passed << " kept, " << result.failed << " broken, " << result.invalid
             << " void\n";
-  for (const auto& failed : result.failed) {
-    std::cout << "seed " << failed.seed << ": " << failed.actions << " of " << failed.acts_before
-              << " acts; brassfront rehearse run " << failed.scenario << " --seed " << failed.seed
-              << "\n"
-              << failed.what;
+  for (const auto& failure : result.failures) {
+    std::cout << "seed " << failure.seed << ": " << failure.actions << " of "
+              << failure.original_actions << " acts; brassfront rehearse run " << failure.scenario
+              << " --seed " << failure.seed << "\n"
+              << failure.report_lines;
   }
-  return result.broken > 0 ? kFailed : result.kept > 0 ? kPassed : kInvalid;
+  return result.failed > 0 ? kFailed : result.passed > 0 ? kPassed : kInvalid;
 }
 
 int List(const std::string& folder) {
--- a/src/rehearsal/campaign.cpp
+++ b/src/rehearsal/campaign.cpp
@@ -90,7 +90,7 @@
 struct Job {
   std::uint64_t seed = 0;
   std::vector<std::string> actions;  // the shortest that is known to be broken, or all
-  std::size_t acts_before = 0;
+  std::size_t original_actions = 0;
   std::vector<std::string> trial;  // being played
   std::size_t next_cut = 0;        // the action to be left out next
   std::size_t spent = 0;
@@ -116,7 +116,7 @@
         Job job;
         job.seed = options_.seed + started_++;
         job.actions = MakeSchedule(base_, job.seed);
-        job.acts_before = job.actions.size();
+        job.original_actions = job.actions.size();
         job.trial = job.actions;
         Start(std::move(job));
       }
@@ -155,7 +155,7 @@
     if (status == kInvalid && ++job.tries < kTries) return Start(std::move(job));
     job.tries = 0;
     if (status != kFailed && !job.failed) {
-      (status == kPassed ? result_.kept : result_.voided) += 1;
+      (status == kPassed ? result_.passed : result_.invalid) += 1;
       fs::remove_all(job.out);
       return Tell(job, status == kPassed ? "kept" : "void");
     }
@@ -172,7 +172,7 @@
     } else {
       ++job.next_cut;  // without that action it is kept, this time
     }
-    if (job.spent++ < options_.shrinking && job.next_cut < job.actions.size()) {
+    if (job.spent++ < options_.max_shrink_runs && job.next_cut < job.actions.size()) {
       job.trial = job.actions;
       job.trial.erase(job.trial.begin() + static_cast<std::ptrdiff_t>(job.next_cut));
       return Start(std::move(job));
@@ -181,16 +181,18 @@
         options_.out + "/failed-" + std::to_string(job.seed) + "/short.rehearsal";
     std::ofstream(file) << WithActs(options_.base, job.actions);
     fs::remove_all(job.out);
-    ++result_.broken;
-    result_.failed.push_back({job.seed, file, job.actions.size(), job.acts_before, job.what});
+    ++result_.failed;
+    result_.failures.push_back(
+        {job.seed, file, job.actions.size(), job.original_actions, job.what});
     Tell(job, "BROKEN, kept as " + file);
   }
 
   void Tell(const Job& job, const std::string& what) {
     if (!options_.progress) return;
     options_.progress("seed " + std::to_string(job.seed) + " " + what + "  (kept " +
-                      std::to_string(result_.kept) + ", broken " + std::to_string(result_.broken) +
-                      ", void " + std::to_string(result_.voided) + ")");
+                      std::to_string(result_.passed) + ", broken " +
+                      std::to_string(result_.failed) + ", void " + std::to_string(result_.invalid) +
+                      ")");
   }
 
   const CampaignOptions& options_;
--- a/src/rehearsal/campaign.hpp
+++ b/src/rehearsal/campaign.hpp
@@ -25,22 +25,22 @@
   std::string program;  // to run `rehearse run` with
   std::string out;      // a folder; failed runs are kept in it
   std::uint64_t seed = 1;
-  std::size_t runs = 0;        // 0: no bound
-  double minutes = 0;          // 0: no bound
-  std::size_t jobs = 1;        // at once
-  std::size_t shrinking = 24;  // plays spent on making one failed schedule shorter
+  std::size_t runs = 0;              // 0: no bound
+  double minutes = 0;                // 0: no bound
+  std::size_t jobs = 1;              // at once
+  std::size_t max_shrink_runs = 24;  // plays spent on making one failed schedule shorter
   std::function<void(const std::string&)> progress;
 };
 
 struct CampaignResult {
-  std::size_t kept = 0, broken = 0, voided = 0;
-  struct Failed {
+  std::size_t passed = 0, failed = 0, invalid = 0;
+  struct Failure {
     std::uint64_t seed = 0;
     std::string scenario;  // its file, shortened
-    std::size_t actions = 0, acts_before = 0;
-    std::string what;  // the broken lines of its report
+    std::size_t actions = 0, original_actions = 0;
+    std::string report_lines;  // the broken lines of its report
   };
-  std::vector<Failed> failed;
+  std::vector<Failure> failures;
 };
 
 // Throws std::runtime_error where nothing can be played, and records::BadRecords for a bad base.
