--- a/tests/rehearsal/auditor_test.cpp
+++ b/tests/rehearsal/auditor_test.cpp
@@ -35,118 +35,121 @@
     e.at = at;
     return e;
   }
-  PutId Submission(Time at, std::uint64_t origin, std::size_t merchant = 0,
-                   std::size_t forwarder = 0) {
+  SubmissionId Submit(Time at, std::uint64_t origin, std::size_t merchant = 0,
+                      std::size_t forwarder = 0) {
     Event e = Make(What::kSubmitted, at);
-    e.put = next_put++;
+    e.submission = next_submission++;
     e.origin = origin;
     e.merchant = merchant;
     e.forwarder = forwarder;
-    e.until = at + seconds(10);
-    auditor.Take(e);
-    return e.put;
+    e.deadline = at + seconds(10);
+    auditor.Handle(e);
+    return e.submission;
   }
-  PutId Taken(Time at, std::uint64_t origin, std::size_t merchant = 0, std::size_t forwarder = 0) {
-    const PutId put = Submission(at, origin, merchant, forwarder);
-    Tell(What::kAccepted, at, put);
-    return put;
+  SubmissionId Accept(Time at, std::uint64_t origin, std::size_t merchant = 0,
+                      std::size_t forwarder = 0) {
+    const SubmissionId submission = Submit(at, origin, merchant, forwarder);
+    Emit(What::kAccepted, at, submission);
+    return submission;
   }
-  void Tell(What what, Time at, PutId put) {
+  void Emit(What what, Time at, SubmissionId submission) {
     Event e = Make(what, at);
-    e.put = put;
-    auditor.Take(e);
+    e.submission = submission;
+    auditor.Handle(e);
   }
-  CallId Call(Time at, PutId put, std::size_t partner = 0, std::size_t endpoint = 0,
+  CallId Call(Time at, SubmissionId submission, std::size_t partner = 0, std::size_t endpoint = 0,
               std::size_t forwarder = 0) {
     Event e = Make(What::kFirstByte, at);
     e.call = next_call++;
     e.forwarder = forwarder;
     e.endpoint = endpoint;
-    auditor.Take(e);
+    auditor.Handle(e);
     e.what = What::kCall;
     e.partner = partner;
-    e.parts = {{put, CallOutcome::kNever}};
-    auditor.Take(e);
+    e.parts = {{submission, CallOutcome::kNotRun}};
+    auditor.Handle(e);
     return e.call;
   }
-  void Answer(Time at, CallId call, PutId put, int status, std::optional<Time> wait = {}) {
+  void Answer(Time at, CallId call, SubmissionId submission, int status,
+              std::optional<Time> wait = {}) {
     Event e = Make(What::kAnswered, at);
     e.call = call;
     e.status = status;
     e.wait = wait;
-    e.parts = {{put, status == 200   ? CallOutcome::kOk
-                     : status == 500 ? CallOutcome::kError
-                     : status == 410 ? CallOutcome::kGone
-                                     : CallOutcome::kNever}};
-    auditor.Take(e);
+    e.parts = {{submission, status == 200   ? CallOutcome::kOk
+                            : status == 500 ? CallOutcome::kError
+                            : status == 410 ? CallOutcome::kGone
+                                            : CallOutcome::kNotRun}};
+    auditor.Handle(e);
   }
-  void Ran(Time at, PutId put, bool twice = false) {
+  void Ran(Time at, SubmissionId submission, bool applied_before = false) {
     Event e = Make(What::kRan, at);
-    e.put = put;
-    e.twice = twice;
-    auditor.Take(e);
+    e.submission = submission;
+    e.applied_before = applied_before;
+    auditor.Handle(e);
   }
-  void Notice(Time at, PutId put, bool deferred = false) {
+  void Notice(Time at, SubmissionId submission, bool deferred = false) {
     Event e = Make(What::kNotice, at);
-    e.put = put;
+    e.submission = submission;
     e.deferred = deferred;
-    auditor.Take(e);
+    auditor.Handle(e);
   }
-  void Deliver(Time at, PutId put) {
-    const CallId call = Call(at, put);
-    Ran(at, put);
-    Answer(at, call, put, 200);
+  void Deliver(Time at, SubmissionId submission) {
+    const CallId call = Call(at, submission);
+    Ran(at, submission);
+    Answer(at, call, submission, 200);
   }
   void Forwarder(What what, Time at, std::size_t forwarder, bool planned = true) {
     Event e = Make(what, at);
     e.forwarder = forwarder;
     e.planned = planned;
-    auditor.Take(e);
+    auditor.Handle(e);
   }
   void Partner(What what, Time at, std::size_t partner) {
     Event e = Make(what, at);
     e.partner = partner;
-    auditor.Take(e);
+    auditor.Handle(e);
   }
   std::size_t Broken(Rule rule) {
     const AuditResult j = auditor.Finish(seconds(60));
-    CHECK(j.metrics.at("rule_breaks") == j.broken[static_cast<std::size_t>(rule)]);  // no other
-    return j.broken[static_cast<std::size_t>(rule)];
+    CHECK(j.metrics.at("rule_breaks") ==
+          j.violation_counts[static_cast<std::size_t>(rule)]);  // no other
+    return j.violation_counts[static_cast<std::size_t>(rule)];
   }
 
   Auditor auditor;
-  PutId next_put = 0;
+  SubmissionId next_submission = 0;
   CallId next_call = 0;
 };
 
 TEST_CASE("lost: an end must come within 300 ms of the message's time") {
   SUBCASE("never ended") {
     Story s;
-    s.Taken(seconds(1), 0);
+    s.Accept(seconds(1), 0);
     CHECK(s.Broken(Rule::kLost) == 1);
   }
   SUBCASE("ended too late") {
     Story s;
-    s.Notice(seconds(11) + milliseconds(351), s.Taken(seconds(1), 0));
+    s.Notice(seconds(11) + milliseconds(351), s.Accept(seconds(1), 0));
     CHECK(s.Broken(Rule::kLost) == 1);
   }
   SUBCASE("ended just in time") {
     Story s;
-    s.Notice(seconds(11) + milliseconds(349), s.Taken(seconds(1), 0));
+    s.Notice(seconds(11) + milliseconds(349), s.Accept(seconds(1), 0));
     CHECK(s.Broken(Rule::kLost) == 0);
   }
   SUBCASE("delivered, refused, unanswered or gone is not lost") {
     Story s;
-    s.Deliver(seconds(2), s.Taken(seconds(1), 0));
-    s.Tell(What::kRefused, seconds(1), s.Submission(seconds(1), 1));
-    s.Tell(What::kUnanswered, seconds(1), s.Submission(seconds(1), 2));
-    const PutId gone = s.Taken(seconds(1), 3);
+    s.Deliver(seconds(2), s.Accept(seconds(1), 0));
+    s.Emit(What::kRefused, seconds(1), s.Submit(seconds(1), 1));
+    s.Emit(What::kUnanswered, seconds(1), s.Submit(seconds(1), 2));
+    const SubmissionId gone = s.Accept(seconds(1), 3);
     s.Answer(seconds(2), s.Call(seconds(2), gone), gone, 410);
     CHECK(s.Broken(Rule::kLost) == 0);
   }
   SUBCASE("a restart puts it off until 1.5 s after the forwarder is ready") {
     Story s;
-    const PutId early = s.Taken(seconds(1), 0), late = s.Taken(seconds(1), 1);
+    const SubmissionId early = s.Accept(seconds(1), 0), late = s.Accept(seconds(1), 1);
     s.Forwarder(What::kStopped, seconds(10), 0);
     s.Forwarder(What::kReady, seconds(14), 0);
     s.Notice(seconds(15) + milliseconds(500), early);
@@ -155,15 +158,15 @@
   }
   SUBCASE("what a lost machine held is nobody's fault") {
     Story s;
-    s.Taken(seconds(1), 0, 0, 1);
+    s.Accept(seconds(1), 0, 0, 1);
     s.Forwarder(What::kMachineLost, seconds(2), 1);
     CHECK(s.Broken(Rule::kLost) == 0);
   }
   SUBCASE("a 200 before its client has heard counts once it has") {
     Story s;
-    const PutId put = s.Submission(seconds(1), 0);
-    s.Deliver(seconds(1), put);
-    s.Tell(What::kAccepted, seconds(1), put);
+    const SubmissionId submission = s.Submit(seconds(1), 0);
+    s.Deliver(seconds(1), submission);
+    s.Emit(What::kAccepted, seconds(1), submission);
     CHECK(s.Broken(Rule::kLost) == 0);
     CHECK(s.auditor.Finish(seconds(60)).metrics.at("delivered") == 1);
   }
@@ -171,23 +174,23 @@
 
 TEST_CASE("overlap: a second call while the first is open") {
   Story s;
-  const PutId put = s.Taken(seconds(1), 0);
-  const CallId first = s.Call(seconds(1), put);
+  const SubmissionId submission = s.Accept(seconds(1), 0);
+  const CallId first = s.Call(seconds(1), submission);
   SUBCASE("open") {
-    s.Deliver(seconds(2), put);
+    s.Deliver(seconds(2), submission);
     CHECK(s.Broken(Rule::kOverlap) == 1);
   }
   SUBCASE("answered") {
-    s.Answer(seconds(2), first, put, 503);
-    s.Deliver(seconds(2), put);
+    s.Answer(seconds(2), first, submission, 503);
+    s.Deliver(seconds(2), submission);
     CHECK(s.Broken(Rule::kOverlap) == 0);
   }
   SUBCASE("cut") {
     Event cut = s.Make(What::kCut, seconds(2));
     cut.call = first;
-    s.auditor.Take(cut);
-    CHECK(s.auditor.MayHaveRun(put));
-    s.Deliver(seconds(2), put);
+    s.auditor.Handle(cut);
+    CHECK(s.auditor.MayHaveRun(submission));
+    s.Deliver(seconds(2), submission);
     CHECK(s.Broken(Rule::kOverlap) == 0);
   }
 }
@@ -195,15 +198,15 @@
 TEST_CASE("resend: applied twice, or sent again where the class forbids it") {
   SUBCASE("applied twice by one hand-in") {
     Story s;
-    const PutId put = s.Taken(seconds(1), 0);
-    s.Deliver(seconds(1), put);
-    s.Ran(seconds(8), put, true);
+    const SubmissionId submission = s.Accept(seconds(1), 0);
+    s.Deliver(seconds(1), submission);
+    s.Ran(seconds(8), submission, true);
     CHECK(s.Broken(Rule::kResend) == 1);
   }
   SUBCASE("applied again by another hand-in of the client's") {
     Story s;
-    s.Deliver(seconds(1), s.Taken(seconds(1), 0));
-    const PutId again = s.Taken(seconds(8), 0);
+    s.Deliver(seconds(1), s.Accept(seconds(1), 0));
+    const SubmissionId again = s.Accept(seconds(8), 0);
     s.Ran(seconds(8), again, true);
     s.Notice(seconds(9), again);
     CHECK(s.Broken(Rule::kResend) == 0);
@@ -212,27 +215,28 @@
   SUBCASE("keyed: within the partner's window of the first send that may have run, or after it") {
     for (const int ms : {5040, 5060}) {
       Story s;
-      const PutId put = s.Taken(seconds(1), 0);
-      s.Answer(seconds(2), s.Call(seconds(1), put), put, 503);  // never ran: does not count
-      s.Answer(seconds(4), s.Call(seconds(3), put), put, 500);
-      s.Answer(seconds(6), s.Call(seconds(5), put), put, 500);
+      const SubmissionId submission = s.Accept(seconds(1), 0);
+      s.Answer(seconds(2), s.Call(seconds(1), submission), submission,
+               503);  // never ran: does not count
+      s.Answer(seconds(4), s.Call(seconds(3), submission), submission, 500);
+      s.Answer(seconds(6), s.Call(seconds(5), submission), submission, 500);
       const Time at = seconds(3) + milliseconds(ms);
-      s.Answer(at, s.Call(at, put), put, 200);
+      s.Answer(at, s.Call(at, submission), submission, 200);
       CHECK(s.Broken(Rule::kResend) == (ms > 5050 ? 1 : 0));
     }
   }
   SUBCASE("once: after a reset") {
     Story s("once");
-    const PutId put = s.Taken(seconds(1), 0);
-    s.Answer(seconds(1), s.Call(seconds(1), put), put, 500);
-    s.Deliver(seconds(2), put);
+    const SubmissionId submission = s.Accept(seconds(1), 0);
+    s.Answer(seconds(1), s.Call(seconds(1), submission), submission, 500);
+    s.Deliver(seconds(2), submission);
     CHECK(s.Broken(Rule::kResend) == 1);
   }
   SUBCASE("once: after a refusal it may be sent again") {
     Story s("once");
-    const PutId put = s.Taken(seconds(1), 0);
-    s.Answer(seconds(1), s.Call(seconds(1), put), put, 503);
-    s.Deliver(seconds(2), put);
+    const SubmissionId submission = s.Accept(seconds(1), 0);
+    s.Answer(seconds(1), s.Call(seconds(1), submission), submission, 503);
+    s.Deliver(seconds(2), submission);
     CHECK(s.Broken(Rule::kResend) == 0);
   }
 }
@@ -240,23 +244,23 @@
 TEST_CASE("attempts: twelve and no more") {
   for (const std::size_t attempts : {12U, 13U}) {
     Story s;
-    const PutId put = s.Taken(seconds(1), 0);
+    const SubmissionId submission = s.Accept(seconds(1), 0);
     for (std::size_t i = 0; i < attempts; ++i) {
-      s.Answer(seconds(2), s.Call(seconds(2), put), put, 503);
+      s.Answer(seconds(2), s.Call(seconds(2), submission), submission, 503);
     }
-    s.Notice(seconds(3), put);
+    s.Notice(seconds(3), submission);
     CHECK(s.Broken(Rule::kAttempts) == (attempts > 12 ? 1 : 0));
   }
 }
 
 TEST_CASE("after-end: nothing is sent once the notice was given") {
   Story s;
-  const PutId put = s.Taken(seconds(1), 0);
-  s.Notice(seconds(2), put);
-  s.Answer(seconds(3), s.Call(seconds(3), put), put, 503);
+  const SubmissionId submission = s.Accept(seconds(1), 0);
+  s.Notice(seconds(2), submission);
+  s.Answer(seconds(3), s.Call(seconds(3), submission), submission, 503);
   CHECK(s.Broken(Rule::kAfterEnd) == 1);
   Story close;  // both were on their way
-  const PutId other = close.Taken(seconds(1), 0);
+  const SubmissionId other = close.Accept(seconds(1), 0);
   close.Notice(seconds(2), other);
   const Time same = seconds(2) + Auditor::kSlack / 2;
   close.Answer(same, close.Call(same, other), other, 503);
@@ -270,18 +274,18 @@
   told.since = seconds(1);
   for (const std::size_t endpoint : {3, 4, 5}) {
     told.endpoint = endpoint;
-    s.auditor.Take(told);
+    s.auditor.Handle(told);
   }
-  PutId put = s.Taken(milliseconds(1020), 0);
-  s.Answer(milliseconds(1400), s.Call(milliseconds(1300), put, 0, 3), put, 200);
+  SubmissionId submission = s.Accept(milliseconds(1020), 0);
+  s.Answer(milliseconds(1400), s.Call(milliseconds(1300), submission, 0, 3), submission, 200);
   Event stopped = s.Make(What::kStopped, seconds(2));
   stopped.planned = true;
-  s.auditor.Take(stopped);
-  s.auditor.Take(s.Make(What::kReady, seconds(5)));
-  put = s.Taken(milliseconds(5010), 0);
-  s.Answer(milliseconds(5300), s.Call(milliseconds(5250), put, 0, 4), put, 200);
-  put = s.Taken(milliseconds(7010), 0);
-  s.Answer(milliseconds(7200), s.Call(milliseconds(7100), put, 0, 4), put, 200);
+  s.auditor.Handle(stopped);
+  s.auditor.Handle(s.Make(What::kReady, seconds(5)));
+  submission = s.Accept(milliseconds(5010), 0);
+  s.Answer(milliseconds(5300), s.Call(milliseconds(5250), submission, 0, 4), submission, 200);
+  submission = s.Accept(milliseconds(7010), 0);
+  s.Answer(milliseconds(7200), s.Call(milliseconds(7100), submission, 0, 4), submission, 200);
   CHECK(s.Broken(Rule::kDrain) == 1);  // 2.1 s after the forwarder was back
   const auto metrics = s.auditor.Finish(seconds(9)).metrics;
   CHECK(metrics.at("removals") == 3);
@@ -295,13 +299,13 @@
     Event told = s.Make(What::kEndpointChange, seconds(1));
     told.endpoint = 3;
     told.draining = true;
-    s.auditor.Take(told);
+    s.auditor.Handle(told);
     told.at = seconds(2);  // told again: the first time counts
-    s.auditor.Take(told);
-    const PutId put = s.Taken(seconds(1), 0);
+    s.auditor.Handle(told);
+    const SubmissionId submission = s.Accept(seconds(1), 0);
     const Time at = seconds(1) + milliseconds(ms);
-    s.Answer(at, s.Call(at, put, 0, 3), put, 200);
-    const PutId other = s.Taken(seconds(1), 1);  // another forwarder was not told
+    s.Answer(at, s.Call(at, submission, 0, 3), submission, 200);
+    const SubmissionId other = s.Accept(seconds(1), 1);  // another forwarder was not told
     s.Answer(at, s.Call(at, other, 0, 3, 1), other, 200);
     CHECK(s.Broken(Rule::kDrain) == (ms > 2050 ? 1 : 0));
   }
@@ -310,16 +314,16 @@
 TEST_CASE("wait: nothing to that partner from 100 ms after it was told until its end") {
   const auto broken = [](Time after, std::size_t partner, std::size_t forwarder, bool restarted) {
     Story s;
-    const PutId put = s.Taken(seconds(1), 0), next = s.Taken(seconds(1), 1);
-    s.Answer(seconds(1), s.Call(seconds(1), put), put, 429, milliseconds(800));
+    const SubmissionId submission = s.Accept(seconds(1), 0), next = s.Accept(seconds(1), 1);
+    s.Answer(seconds(1), s.Call(seconds(1), submission), submission, 429, milliseconds(800));
     if (restarted) s.Forwarder(What::kStopped, seconds(1), 0);
     if (restarted) s.Forwarder(What::kReady, seconds(1), 0);
     const CallId call = s.Call(seconds(1) + after, next, partner, 0, forwarder);
     s.Answer(seconds(3), call, next, 200);
-    s.Notice(seconds(3), put);
+    s.Notice(seconds(3), submission);
     s.Notice(seconds(3), next);
     const AuditResult j = s.auditor.Finish(seconds(60));
-    return j.broken[static_cast<std::size_t>(Rule::kWait)];
+    return j.violation_counts[static_cast<std::size_t>(Rule::kWait)];
   };
   CHECK(broken(milliseconds(400), 0, 0, false) == 1);
   CHECK(broken(milliseconds(90), 0, 0, false) == 0);
@@ -333,35 +337,35 @@
   for (const bool saw : {true, false}) {
     Story s;
     s.Partner(What::kDown, seconds(1), 0);
-    const PutId put = s.Taken(seconds(1), 0);
+    const SubmissionId submission = s.Accept(seconds(1), 0);
     if (saw) {
-      s.Answer(seconds(2), s.Call(seconds(2), put), put, 503);
+      s.Answer(seconds(2), s.Call(seconds(2), submission), submission, 503);
     }
     s.Partner(What::kBack, seconds(3), 0);
-    Event fell = s.Make(What::kFellOver, seconds(4));
-    fell.pushed = {{0, 70}, {1, 30}};
-    s.auditor.Take(fell);
-    s.Notice(seconds(5), put);
+    Event fell = s.Make(What::kCollapsed, seconds(4));
+    fell.recent_work = {{0, 70}, {1, 30}};
+    s.auditor.Handle(fell);
+    s.Notice(seconds(5), submission);
     CHECK(s.Broken(Rule::kFailBack) == (saw ? 1 : 0));
   }
   Story s;  // two thirds came from one that had seen nothing
   s.Partner(What::kDown, seconds(1), 0);
-  const PutId put = s.Taken(seconds(1), 0);
-  s.Answer(seconds(2), s.Call(seconds(2), put), put, 503);
-  s.Notice(seconds(2), put);
+  const SubmissionId submission = s.Accept(seconds(1), 0);
+  s.Answer(seconds(2), s.Call(seconds(2), submission), submission, 503);
+  s.Notice(seconds(2), submission);
   s.Partner(What::kBack, seconds(3), 0);
-  Event fell = s.Make(What::kFellOver, seconds(4));
-  fell.pushed = {{0, 30}, {1, 70}};
-  s.auditor.Take(fell);
+  Event fell = s.Make(What::kCollapsed, seconds(4));
+  fell.recent_work = {{0, 30}, {1, 70}};
+  s.auditor.Handle(fell);
   CHECK(s.Broken(Rule::kFailBack) == 0);
 }
 
 TEST_CASE("own: a foreign partner, and messages that nobody handed in") {
   Story s;
-  const PutId put = s.Taken(seconds(1), 0);
-  s.Answer(seconds(1), s.Call(seconds(1), put, 1), put, 200);
-  s.Answer(seconds(1), s.Call(seconds(1), kUnknownPut), kUnknownPut, 400);
-  s.Notice(seconds(1), kUnknownPut);
+  const SubmissionId submission = s.Accept(seconds(1), 0);
+  s.Answer(seconds(1), s.Call(seconds(1), submission, 1), submission, 200);
+  s.Answer(seconds(1), s.Call(seconds(1), kUnknownSubmission), kUnknownSubmission, 400);
+  s.Notice(seconds(1), kUnknownSubmission);
   CHECK(s.Broken(Rule::kOwn) == 3);
 }
 
@@ -376,9 +380,9 @@
 
 TEST_CASE("a break has the message's timeline, and only so many are told") {
   Story s;
-  for (std::uint64_t i = 0; i < 50; ++i) s.Taken(seconds(1), i);
+  for (std::uint64_t i = 0; i < 50; ++i) s.Accept(seconds(1), i);
   const AuditResult j = s.auditor.Finish(seconds(60));
-  CHECK(j.broken[static_cast<std::size_t>(Rule::kLost)] == 50);
+  CHECK(j.violation_counts[static_cast<std::size_t>(Rule::kLost)] == 50);
   REQUIRE(j.violations.size() == Auditor::kMaxViolations);
   REQUIRE(j.violations[0].evidence.size() == 3);
   CHECK(j.violations[0].evidence[0] == "message 0 for a, its time is up at 11.000 s");
@@ -390,13 +394,13 @@
   Story s;
   for (std::uint64_t i = 0; i < 20; ++i) {
     const Time at = seconds(i);
-    const PutId put = s.Taken(at, i, i % 2);
+    const SubmissionId submission = s.Accept(at, i, i % 2);
     if (i < 10) {
-      s.Deliver(at + seconds(1), put);  // in time
+      s.Deliver(at + seconds(1), submission);  // in time
     } else if (i % 2 == 0) {
-      s.Deliver(at + seconds(6), put);  // half way to the deadline: 1 - 0.7 / 2
+      s.Deliver(at + seconds(6), submission);  // half way to the deadline: 1 - 0.7 / 2
     } else {
-      s.Notice(at + seconds(1), put, i == 11);
+      s.Notice(at + seconds(1), submission, i == 11);
     }
   }
   const AuditResult j = s.auditor.Finish(seconds(60));
@@ -413,13 +417,13 @@
   CHECK(j.seconds[0].in_time == 1);
   CHECK(j.seconds[10].late == 1);
   CHECK(j.seconds[11].refused == 1);
-  CHECK(j.seconds[12].held == 2);  // those of 10 and 12 s; 11 has ended by then
+  CHECK(j.seconds[12].pending == 2);  // those of 10 and 12 s; 11 has ended by then
 }
 
 TEST_CASE("traffic beyond a merchant's share is worth little") {
   Story s;
-  for (std::uint64_t i = 0; i < 200; ++i) s.Taken(seconds(1), i, 0);  // its share is 5 a second
-  for (std::uint64_t i = 200; i < 210; ++i) s.Deliver(seconds(1), s.Taken(seconds(1), i, 1));
+  for (std::uint64_t i = 0; i < 200; ++i) s.Accept(seconds(1), i, 0);  // its share is 5 a second
+  for (std::uint64_t i = 200; i < 210; ++i) s.Deliver(seconds(1), s.Accept(seconds(1), i, 1));
   const AuditResult j = s.auditor.Finish(seconds(60));
   // 31 are within what a share may bring at once: 5 s of it, and a quarter more.
   CHECK(j.metrics.at("whole") == doctest::Approx(10 / (31 + 169 * 0.05 + 10)).epsilon(0.02));
--- a/tests/rehearsal/fleet_auditor_test.cpp
+++ b/tests/rehearsal/fleet_auditor_test.cpp
@@ -27,16 +27,16 @@
     for (std::size_t f = 0; f < 5; ++f) auditor.Runs(f, true, Time{});
   }
   void Look(std::size_t f, bool away, Time from, Time until) {
-    for (Time at = from; at < until; at += milliseconds(100)) auditor.StandsBy(f, away, at);
+    for (Time at = from; at < until; at += milliseconds(100)) auditor.SetStandby(f, away, at);
   }
   AuditResult End(Time at) {
     AuditResult j;
-    j.broken.resize(kRules);
+    j.violation_counts.resize(kRules);
     auditor.Finish(at, j);
     return j;
   }
   static std::size_t Broken(const AuditResult& j, Rule rule) {
-    return j.broken[static_cast<std::size_t>(rule)];
+    return j.violation_counts[static_cast<std::size_t>(rule)];
   }
   FleetAuditor auditor;
 };
@@ -98,19 +98,19 @@
 
 TEST_CASE("a call to an endpoint that is out breaks the rule, until it is asked back") {
   Story s;
-  s.auditor.EndpointIs("e2", 2);
+  s.auditor.SetEndpointNumber("e2", 2);
   const auto call = [&](Time at) {
     Event e{.what = Event::What::kFirstByte};
     e.at = at;
     e.endpoint = 2;
-    s.auditor.Take(e);
+    s.auditor.Handle(e);
   };
   call(seconds(5));
   s.auditor.Line(0, "work request=1 name=e2 state=draining used=0 revision=3", seconds(6));
   call(seconds(6));
   s.auditor.Line(0, "work request=1 name=e2 state=out used=0 revision=4", seconds(7));
   call(seconds(8));
-  s.auditor.EndpointOut("e2", false, seconds(9));
+  s.auditor.SetEndpointOut("e2", false, seconds(9));
   call(seconds(10));
   // One that lags says late that it was out.
   s.auditor.Line(0, "work request=1 name=e2 state=back used=0 revision=5", seconds(10));
@@ -127,7 +127,7 @@
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     const auto actions = MakeSchedule(base, seed);
     CHECK(actions == MakeSchedule(base, seed));
-    const Scenario s = ReadScenario(WithActs(kBase, actions), "schedule");
+    const Scenario s = ReadScenario(WithActions(kBase, actions), "schedule");
     CHECK(s.actions.size() == actions.size());
     std::size_t lost = 0;
     for (const FaultAction& action : s.actions) {
--- a/tests/rehearsal/model_test.cpp
+++ b/tests/rehearsal/model_test.cpp
@@ -72,25 +72,25 @@
   CHECK(shut.what == What::kRefuse);
   CHECK(shut.wait == seconds(1));
   model.End(seconds(3));
-  CHECK(model.Warmth(seconds(3)) == doctest::Approx(0.5));
-  CHECK(model.Warmth(seconds(8)) == doctest::Approx(0.75));
-  CHECK(model.Warmth(seconds(13)) == 1);
+  CHECK(model.CapacityShare(seconds(3)) == doctest::Approx(0.5));
+  CHECK(model.CapacityShare(seconds(8)) == doctest::Approx(0.75));
+  CHECK(model.CapacityShare(seconds(13)) == 1);
   // Half of 100 a second, times 1.5: some 75 within a second push it over.
   int pushed = 0;
-  while (!model.Call(seconds(3) + milliseconds(pushed), 1, pushed % 2).fell_over) {
+  while (!model.Call(seconds(3) + milliseconds(pushed), 1, pushed % 2).collapsed) {
     REQUIRE(++pushed < 200);
   }
   CHECK(pushed >= 74);
   CHECK(pushed <= 82);
-  CHECK(model.Pushed().at(0) + model.Pushed().at(1) == doctest::Approx(pushed + 1));
-  CHECK(model.fallen());
+  CHECK(model.RecentWork().at(0) + model.RecentWork().at(1) == doctest::Approx(pushed + 1));
+  CHECK(model.collapsed());
   CHECK(model.Call(seconds(19), 1, 0).what == What::kRefuse);
   PartnerModel gentle = Model(s);
   gentle.Begin(Outage::kSilent, seconds(3), {});
   CHECK(gentle.Call(seconds(2), 1, 0).what == What::kSilent);
   gentle.End(seconds(3));
   for (Time t = seconds(3); t < seconds(15); t += milliseconds(20)) {
-    CHECK_FALSE(gentle.Call(t, 1, 0).fell_over);
+    CHECK_FALSE(gentle.Call(t, 1, 0).collapsed);
   }
 }
 
