--- a/bench/zones_bench.cpp
+++ b/bench/zones_bench.cpp
@@ -1,4 +1,4 @@
-// What zones cost: reading, memory, one change, one query, one transfer, and the merged list.
+// Cost of zones: reading, memory, one change, one query, one transfer, and the merged list.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -17,7 +17,8 @@
 
 const dns::Name kOrigin = dns::Name::Known("example.");
 
-// So many records: services of one SRV, one TXT and one A each.
+// Returns a zone file with this number of records: services with one SRV, one TXT and one A record
+// each.
 std::string Text(long records) {
   std::string text = "$TTL 60\n@ SOA ns host 1 3600 900 604800 60\n@ NS ns\n";
   for (long n = 0; n < records / 3; ++n) {
@@ -52,7 +53,7 @@
   state.counters["bytes_a_record"] = static_cast<double>(bytes) / static_cast<double>(records);
 }
 
-// One host's address, there and back.
+// Returns an update that gives one host a new address, which depends on `turn`.
 dns::Message Update(long records, int turn) {
   dns::Message update;
   update.opcode = dns::Opcode::kUpdate;
@@ -64,7 +65,7 @@
   return update;
 }
 
-// An update worked out and applied, the service it touches worked out, and the list's change.
+// Computes and applies an update, then computes the affected service and the change of the list.
 void OneChange(benchmark::State& state) {
   dns::Zone zone = Read(Text(state.range(0)));
   membership::ZoneMap map({"small-shop", "a"});
@@ -84,11 +85,11 @@
       merged.Take(source, service.name, service.members, turn);
     }
     const auto list = merged.Changes(turn);
-    if (!list || list->members.size() != 2) state.SkipWithError("a change came to something else");
+    if (!list || list->members.size() != 2) state.SkipWithError("unexpected result of a change");
   }
 }
 
-// The same, with the disk's confirmation.
+// The same, including the write to disk.
 void OneDurableChange(benchmark::State& state) {
   const auto folder = std::filesystem::temp_directory_path() / "brassfront-zones-bench";
   std::filesystem::remove_all(folder);
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""A stand-in for what surrounds a forwarder: endpoints, discovery, notifications.
+"""Simulates the environment of a forwarder: endpoints, discovery, notifications.
 
-Start it, then a forwarder, then hand messages in (see examples/README.md):
+Start it, then a forwarder, then submit messages (see examples/README.md):
 
     python3 examples/toy_server.py --port 8500
     python3 examples/toy_server.py put --to 127.0.0.1:6379 --dest 1 "hello"
@@ -18,9 +18,10 @@
 
 
 class Toy(socketserver.ThreadingTCPServer):
-    """Records what it is sent in `calls` and `notices`; `answer` sets its replies.
+    """Records requests in `calls` and `notices`; `answer` determines the replies.
 
-    At revision 0 it has no list, and forwarders go on with that of their configuration.
+    At revision 0 it has no endpoint list, and forwarders keep the list of their
+    configuration.
     """
 
     allow_reuse_address = True
@@ -32,12 +33,13 @@
         self.changed = threading.Condition()
         self.revision = revision
         self.members = list(members)
-        # One entry for each message in each call: id, key, body, bundle.
+        # One entry per message of each call: id, key, body, bundle (size of the call).
         self.calls = []
         self.notices = []
-        self.refused_notices = 0  # so many posts of notices are answered with an error
-        # For one message: (status, headers), or bytes that are written unchanged, or a
-        # state for a message in a bundle.
+        # Number of notice requests still to be answered with an error.
+        self.refused_notices = 0
+        # Returns the answer for one message: (status, headers), or bytes that are
+        # written unchanged. In a bundle, only status 200 or another matters.
         self.answer = lambda call: (200, {})
 
     @property
@@ -45,7 +47,7 @@
         return "127.0.0.1:%d" % self.server_address[1]
 
     def start(self, poll_s=0.5):
-        """Serves in a thread of its own, which looks each `poll_s` whether to end."""
+        """Serves in a new thread, which checks every `poll_s` whether to stop."""
         arguments = {"poll_interval": poll_s}
         threading.Thread(
             target=self.serve_forever, kwargs=arguments, daemon=True
@@ -58,7 +60,7 @@
             self.changed.notify_all()
 
     def announce(self, members):
-        """A change of the list."""
+        """Replaces the endpoint list and increments its revision."""
         with self.changed:
             self.revision += 1
             self.members = members
@@ -69,7 +71,7 @@
         return json.dumps(body) + "\n"
 
     def handle_error(self, request, client_address):
-        pass  # a forwarder may end any connection
+        pass  # a forwarder may close any connection
 
 
 class Handler(BaseHTTPRequestHandler):
@@ -171,7 +173,7 @@
         self.socket.sendall(out)
 
     def read(self):
-        """The line of a reply; empty if the forwarder closed the connection."""
+        """Returns the line of a reply; empty if the forwarder closed the connection."""
         try:
             return self.file.readline().decode().rstrip("\r\n")
         except ConnectionResetError:
@@ -204,7 +206,7 @@
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--port", type=int, default=8500)
     commands = parser.add_subparsers(dest="command")
-    put = commands.add_parser("put", help="hand one message in")
+    put = commands.add_parser("put", help="submit one message")
     put.add_argument("--to", default="127.0.0.1:6379")
     put.add_argument("--dest", type=int, default=1)
     put.add_argument("body")
--- a/fuzz/replay.cpp
+++ b/fuzz/replay.cpp
@@ -1,4 +1,5 @@
-// The tests' short run: each file of a corpus, and so many changed copies of it from a fixed seed.
+// Short deterministic run for the tests: processes each file of a corpus and COPIES mutated copies
+// of it, drawn from a fixed seed.
 #include <algorithm>
 #include <cstdint>
 #include <filesystem>
@@ -56,9 +57,9 @@
   std::mt19937 random(1);
   const long copies = std::stol(argv[2]);
   for (const std::string& bytes : corpus) {
-    brassfront::fuzz::Take(bytes);
+    brassfront::fuzz::ProcessInput(bytes);
     for (long n = 0; n < copies; ++n) {
-      brassfront::fuzz::Take(Changed(bytes, corpus[random() % corpus.size()], random));
+      brassfront::fuzz::ProcessInput(Changed(bytes, corpus[random() % corpus.size()], random));
     }
   }
   std::cout << corpus.size() << " files, " << copies << " changed copies of each\n";
--- a/fuzz/targets.hpp
+++ b/fuzz/targets.hpp
@@ -1,4 +1,4 @@
-// What the fuzzers feed: each takes any bytes and aborts where something that must hold does not.
+// Fuzz targets: each accepts arbitrary bytes and aborts if a required property does not hold.
 #ifndef BRASSFRONT_FUZZ_TARGETS_HPP_
 #define BRASSFRONT_FUZZ_TARGETS_HPP_
 
@@ -8,11 +8,11 @@
 
 namespace brassfront::fuzz {
 
-void Take(std::string_view bytes);  // of the target that is linked
+void ProcessInput(std::string_view bytes);  // defined by the linked target
 
-inline void Must(bool holds, const char* what) {
+inline void Require(bool holds, const char* what) {
   if (holds) return;
-  std::fprintf(stderr, "does not hold: %s\n", what);
+  std::fprintf(stderr, "property violated: %s\n", what);
   std::abort();
 }
 
--- a/fuzz/tsig.cpp
+++ b/fuzz/tsig.cpp
@@ -1,11 +1,11 @@
-// Signatures: nothing that was not signed with the key is taken, and what was signed is.
+// Fuzz target for TSIG signatures: only messages signed with the key are accepted.
 #include "dns/tsig.hpp"
 
 #include "targets.hpp"
 
 namespace brassfront::fuzz {
 
-void Take(std::string_view bytes) {
+void ProcessInput(std::string_view bytes) {
   constexpr std::uint64_t kNow = 1'800'000'000;
   const dns::Key key{dns::Name::Known("key."), dns::Algorithm::kHmacSha256, std::string(32, 'k')};
   dns::KeyRing keys;
@@ -15,8 +15,8 @@
   dns::TsigError error = dns::TsigError::kNone;
   if (const auto found = KeyOf(*decoded.message, keys, error)) {
     dns::TsigSession session(*found);
-    Must(session.Check(bytes, *decoded.message, kNow) != dns::TsigError::kNone,
-         "nobody else signs with the key");
+    Require(session.Check(bytes, *decoded.message, kNow) != dns::TsigError::kNone,
+            "no fuzzed message has a valid signature");
   }
   ErrorIn(*decoded.message);
   if (decoded.message->tsig) {
@@ -29,18 +29,18 @@
   dns::TsigSession checker(key);
   std::string sealed = signer.Sign(std::string(bytes), kNow);
   const dns::Decoded whole = dns::Decode(sealed);
-  Must(whole.message && whole.message->tsig, "what is signed can be decoded");
-  Must(checker.Check(sealed, *whole.message, kNow + 10) == dns::TsigError::kNone,
-       "what is signed is taken");
-  // One bit of the message, by the message's own bytes, but none of its ID.
+  Require(whole.message && whole.message->tsig, "a signed message can be decoded");
+  Require(checker.Check(sealed, *whole.message, kNow + 10) == dns::TsigError::kNone,
+          "a signed message is accepted");
+  // Flip one bit of the message, chosen by its bytes, but no bit of its ID.
   std::size_t sum = 0;
   for (const char c : bytes) sum = sum * 31 + static_cast<unsigned char>(c);
   const std::size_t bit = 16 + sum % (bytes.size() * 8 - 16);
   sealed[bit / 8] = static_cast<char>(sealed[bit / 8] ^ (1 << bit % 8));
   const dns::Decoded broken = dns::Decode(sealed);
   dns::TsigSession other(key);
-  Must(!broken.message || other.Check(sealed, *broken.message, kNow) != dns::TsigError::kNone,
-       "a changed bit is seen");
+  Require(!broken.message || other.Check(sealed, *broken.message, kNow) != dns::TsigError::kNone,
+          "a changed bit is detected");
 }
 
 }  // namespace brassfront::fuzz
--- a/fuzz/zone_file.cpp
+++ b/fuzz/zone_file.cpp
@@ -1,4 +1,5 @@
-// Zone files: what is read can be written and read again, and what is not has a place.
+// Fuzz target for zone files: a file that was read can be written and read again, and a rejected
+// file has faults with positions.
 #include "dns/zone_file.hpp"
 
 #include "targets.hpp"
@@ -7,11 +8,11 @@
 namespace {
 
 dns::Zone Read(const std::string& text) {
-  // An include is the file's second half, so that files in files are met with.
+  // An included file is the second half of the text, so that nested files are covered.
   const auto including = [&text](const dns::ZoneText& from, const std::string& named,
                                  std::string& why) -> std::optional<dns::ZoneText> {
     if (from.identity != "zone" || named != "half") {
-      why = "not there";
+      why = "no such file";
       return std::nullopt;
     }
     return dns::ZoneText{"half", text.substr(text.size() / 2), "half"};
@@ -27,17 +28,17 @@
 
 }  // namespace
 
-void Take(std::string_view bytes) {
-  // A $GENERATE may ask for a million records: that is allowed, but no use here.
+void ProcessInput(std::string_view bytes) {
+  // A $GENERATE may create a million records, which is valid but too slow for fuzzing.
   const bool generates = bytes.find("$GENERATE") != std::string_view::npos;
   if (bytes.size() > 65536 || (generates && bytes.size() > 300)) return;
   try {
     const std::string written = Written(Read(std::string(bytes)));
-    Must(Written(Read(written)) == written, "a zone goes round");
+    Require(Written(Read(written)) == written, "a written zone is read as the same zone");
   } catch (const dns::InvalidZone& bad) {
-    Must(!bad.faults().empty() && bad.faults().size() <= dns::InvalidZone::kMaxFaults,
-         "a bad zone has faults");
-    for (const auto& fault : bad.faults()) Must(!fault.why.empty(), "a fault has a reason");
+    Require(!bad.faults().empty() && bad.faults().size() <= dns::InvalidZone::kMaxFaults,
+            "an invalid zone has faults");
+    for (const auto& fault : bad.faults()) Require(!fault.why.empty(), "a fault has a reason");
   }
 }
 
--- a/tests/rehearsal/bad_forwarder.py
+++ b/tests/rehearsal/bad_forwarder.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""A small forwarder that breaks one rule on purpose, named by $BAD, or none.
+"""A small forwarder that breaks the rule named by $BAD on purpose, or none.
 
 Started like the real one: `bad_forwarder.py serve --config FILE --state DIR`, with
 `--sources FILE`, which it ignores. It shows that the auditor of the rehearsal kit
-catches each kind of violation.
+detects each kind of violation.
 """
 
 import argparse
@@ -18,7 +18,7 @@
 import time
 
 BAD = os.environ.get("BAD", "none")
-COLD_S = 4  # the scenarios' warm-up time
+WARM_UP_S = 4  # warm-up time of the scenarios
 
 
 class State:
@@ -26,11 +26,10 @@
         self.config = config
         self.lock = threading.Lock()
         self.members = {m["id"]: m for m in config["known"]["members"]}
-        self.waits = {}  # dest: until
-        self.failed = {}  # dest: when a call there last came back without delivery
-        self.trickles = (
-            {}
-        )  # dest: the lock that lets one call at a time go there while it is cold
+        self.waits = {}  # by destination: end of the wait
+        self.failed = {}  # by destination: time of the last failed call
+        # By destination: allows one call at a time during the warm-up.
+        self.warm_up_locks = {}
         self.slots = threading.Semaphore(200)
         self.count = 0
         self.notices = queue.Queue()
@@ -42,19 +41,21 @@
                     (m["cell"] for m in self.members.values() if m["cell"] != dest),
                     dest,
                 )
-            fit = [
+            candidates = [
                 m
                 for m in self.members.values()
                 if m["cell"] == dest and m["phase"] == "Ready"
             ]
             if BAD == "drain":
-                fit = [m for m in self.config["known"]["members"] if m["cell"] == dest]
-            if not fit:
+                candidates = [
+                    m for m in self.config["known"]["members"] if m["cell"] == dest
+                ]
+            if not candidates:
                 return None
-            return fit[turn % len(fit)]["host_port"]
+            return candidates[turn % len(candidates)]["host_port"]
 
 
-def follow(state):
+def watch_members(state):
     while True:
         try:
             host, port = state.config["discovery"].split(":")
@@ -90,7 +91,7 @@
 
 
 def call(address, message, timeout):
-    """The status, or None if it may have run; and the wait in seconds."""
+    """Returns the status, or None if the call may have run, and the wait in seconds."""
     host, port = address.split(":")
     connection = http.client.HTTPConnection(host, int(port), timeout=max(0.05, timeout))
     try:
@@ -111,7 +112,7 @@
         connection.close()
 
 
-def careful_call(state, dest, address, message, end, timeout):
+def paced_call(state, dest, address, message, end, timeout):
     """Makes a call; returns its status and the Retry-After that came with it.
 
     During the warm-up after a failure of the destination, calls go out one at a time,
@@ -122,35 +123,35 @@
     now = time.monotonic()
     if (
         BAD in ("fail-back", "attempts")
-        or now - state.failed.get(dest, -COLD_S) >= COLD_S
+        or now - state.failed.get(dest, -WARM_UP_S) >= WARM_UP_S
     ):
-        return noted_call(state, dest, address, message, timeout)
+        return recorded_call(state, dest, address, message, timeout)
     with state.lock:
-        trickle = state.trickles.setdefault(dest, threading.Lock())
-    if not trickle.acquire(timeout=max(0.0, end - now)):
+        warm_up_lock = state.warm_up_locks.setdefault(dest, threading.Lock())
+    if not warm_up_lock.acquire(timeout=max(0.0, end - now)):
         return 503, 0  # not sent
     try:
         while BAD != "wait" and state.waits.get(dest, 0) > time.monotonic():
             time.sleep(state.waits[dest] - time.monotonic() + 0.02)
         if time.monotonic() >= end:
             return 503, 0
-        status, told = noted_call(
+        status, wait_s = recorded_call(
             state, dest, address, message, min(timeout, end - time.monotonic())
         )
         time.sleep(0.1)
-        return status, told
+        return status, wait_s
     finally:
-        trickle.release()
+        warm_up_lock.release()
 
 
-def noted_call(state, dest, address, message, timeout):
-    status, told = call(address, message, timeout)
-    if told > 0:
-        until = time.monotonic() + told
+def recorded_call(state, dest, address, message, timeout):
+    status, wait_s = call(address, message, timeout)
+    if wait_s > 0:
+        until = time.monotonic() + wait_s
         state.waits[dest] = max(until, state.waits.get(dest, 0))
     if status not in (200, 410):
         state.failed[dest] = time.monotonic()
-    return status, told
+    return status, wait_s
 
 
 def deliver(state, message, number):
@@ -166,7 +167,7 @@
     while True:
         now = time.monotonic()
         wait = state.waits.get(dest, 0) - now
-        # A repeat is dropped by the partner only for a while.
+        # The partner drops duplicates only within its window.
         too_old = ran_since is not None and now - ran_since > 0.4
         if (
             now >= end
@@ -186,7 +187,7 @@
             threading.Thread(
                 target=call, args=(address, message, end - now), daemon=True
             ).start()
-        status, told = careful_call(
+        status, wait_s = paced_call(
             state, dest, address, message, end, 5 if ran_since is None else 0.2
         )
         if status == 200:
@@ -254,7 +255,7 @@
         config = json.load(file)
     state = State(config)
     state.put = lambda words: put(state, words)
-    threading.Thread(target=follow, args=(state,), daemon=True).start()
+    threading.Thread(target=watch_members, args=(state,), daemon=True).start()
     threading.Thread(target=post_notices, args=(state,), daemon=True).start()
     host, port = config["listen"].split(":")
     server = Server((host, int(port)), Client)
--- a/tests/rehearsal/rehearsal_test.py
+++ b/tests/rehearsal/rehearsal_test.py
@@ -1,6 +1,6 @@
-"""The rehearsal kit from outside: verdicts, exit statuses, and what it leaves behind.
+"""Tests of the rehearsal command: verdicts, exit statuses, reports and processes.
 
-Times in here are a scenario's own; no verdict depends on how fast the machine is.
+All times are times of a scenario; no verdict depends on the speed of the machine.
 """
 
 import json
@@ -14,9 +14,9 @@
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 PROGRAM = os.environ["BRASSFRONT"]
-BAD = str(pathlib.Path(__file__).resolve().parent / "bad_forwarder.py")
-LIMIT = 120  # s
-KEPT, BROKEN, BAD_SCENARIO, VOID = 0, 1, 2, 3
+BAD_FORWARDER = str(pathlib.Path(__file__).resolve().parent / "bad_forwarder.py")
+TIMEOUT_S = 120
+PASSED, FAILED, INVALID_SCENARIO, INVALID_RUN = 0, 1, 2, 3
 
 BASE = """
 name: "base"
@@ -52,7 +52,7 @@
             [PROGRAM, "rehearse", what, str(target), *options],
             capture_output=True,
             text=True,
-            timeout=LIMIT,
+            timeout=TIMEOUT_S,
             env=environment,
         )
 
@@ -62,9 +62,9 @@
         return path
 
     def play(self, text, *options, bad=None):
-        """The exit status and the JSON report."""
+        """Runs a scenario; returns the exit status and the JSON report."""
         out = self.folder / "out"
-        forwarder = ("--forwarder", BAD) if bad is not None else ()
+        forwarder = ("--forwarder", BAD_FORWARDER) if bad is not None else ()
         done = self.rehearse(
             "run",
             self.file(text),
@@ -75,25 +75,25 @@
             *options,
             bad=bad,
         )
-        self.assertIn(done.returncode, (KEPT, BROKEN, VOID), done.stderr)
+        self.assertIn(done.returncode, (PASSED, FAILED, INVALID_RUN), done.stderr)
         report = json.loads((out / "report.json").read_text())
         return done.returncode, report
 
-    # ---- the auditor, each rule against a forwarder that breaks it ----
+    # ---- the auditor: each rule with a forwarder that breaks it ----
 
     def assert_caught(self, rule, bad, text):
         status, report = self.play(text, bad=bad)
-        self.assertEqual(status, BROKEN, report)
+        self.assertEqual(status, FAILED, report)
         self.assertGreater(report["rules"][rule], 0, report["rules"])
         evidence = [b for b in report["breaks"] if b["rule"] == rule]
         self.assertTrue(evidence[0]["what"])
 
-    def test_a_forwarder_that_keeps_the_rules_is_passed(self):
+    def test_a_forwarder_that_keeps_the_rules_passes(self):
         acts = '{at: 1s, for: 500ms, do: "shut", partner: "a", wait: 300ms},'
         acts += '{at: 1s, do: "replace", partner: "b"}'
         status, report = self.play(scenario(acts), bad="none")
         self.assertEqual(
-            (status, report["metrics"]["rule_breaks"]), (KEPT, 0), report["breaks"]
+            (status, report["metrics"]["rule_breaks"]), (PASSED, 0), report["breaks"]
         )
         self.assertGreater(report["metrics"]["delivered"], 50)
 
@@ -116,19 +116,19 @@
     def test_an_attempt_after_the_notice_is_caught(self):
         self.assert_caught("after-end", "after-end", scenario())
 
-    def test_calls_to_an_endpoint_that_has_left_are_caught(self):
+    def test_calls_to_a_removed_endpoint_are_caught(self):
         acts = '{at: 200ms, do: "replace", partner: "a", endpoint: 0}'
         self.assert_caught("drain", "drain", scenario(acts, duration="5s"))
 
-    def test_a_cold_partner_pushed_over_is_caught(self):
+    def test_overload_during_the_warm_up_is_caught(self):
         acts = '{at: 500ms, for: 1500ms, do: "shut", partner: "a", wait: 100ms}'
         self.assert_caught("fail-back", "fail-back", scenario(acts, duration="4s"))
 
-    def test_a_wait_that_is_not_heeded_is_caught(self):
+    def test_a_call_during_a_wait_is_caught(self):
         acts = '{at: 500ms, for: 1500ms, do: "shut", partner: "a"}'
         self.assert_caught("wait", "wait", scenario(acts))
 
-    def test_a_message_at_a_foreign_partner_is_caught(self):
+    def test_a_message_at_another_partner_is_caught(self):
         self.assert_caught("own", "own", scenario())
 
     def test_a_forwarder_that_ends_by_itself_is_caught(self):
@@ -136,19 +136,20 @@
 
     # ---- the command ----
 
-    def test_the_quick_scenario_is_kept_with_the_real_forwarder(self):
+    def test_the_quick_scenario_passes_with_the_real_forwarder(self):
         out = self.folder / "out"
         done = self.rehearse(
             "run", ROOT / "rehearsals/quick.rehearsal", "--out", str(out)
         )
-        self.assertEqual(done.returncode, KEPT, done.stdout + done.stderr)
+        self.assertEqual(done.returncode, PASSED, done.stdout + done.stderr)
         report = json.loads((out / "report.json").read_text())
         self.assertEqual(report["verdict"], "kept")
         self.assertEqual(sum(report["rules"].values()), 0)
         suite = xml.etree.ElementTree.parse(out / "junit.xml").getroot()
         self.assertEqual(suite.get("failures"), "0")
         page = (out / "report.html").read_text()
-        self.assertNotIn("http", page.replace("http-equiv", ""))  # it opens offline
+        # The page loads nothing over the network.
+        self.assertNotIn("http", page.replace("http-equiv", ""))
         again = self.rehearse("report", out)
         self.assertEqual(again.stdout, (out / "report.txt").read_text())
 
@@ -158,7 +159,7 @@
         )
         return text + more
 
-    def test_endpoints_that_a_name_server_removes_are_left(self):
+    def test_endpoints_removed_by_a_name_server_get_no_more_calls(self):
         text = self.zones(
             '{at: 1s, for: 4s, do: "churn", partner: "all", wait: 400ms},'
             '{at: 2s, for: 1s, do: "name-server", fault: "quiet"},'
@@ -166,17 +167,17 @@
             'expect: ["removals >= 8", "removed_max_ms <= 2000", "service >= 0.6"]\n',
         )
         status, report = self.play(text)
-        self.assertEqual(status, KEPT, report)
+        self.assertEqual(status, PASSED, report)
 
-    def test_a_forwarder_that_takes_no_notice_of_the_name_server_is_caught(self):
+    def test_a_forwarder_that_ignores_the_name_server_is_caught(self):
         text = self.zones('{at: 1s, for: 2s, do: "churn", partner: "all", wait: 200ms}')
         self.assert_caught("drain", "none", text)
 
-    def test_an_expectation_that_falls_short_is_told(self):
+    def test_an_unmet_expectation_fails_the_run(self):
         status, report = self.play(
             scenario() + 'expect: ["service >= 1.5"]\n', bad="none"
         )
-        self.assertEqual(status, BROKEN)
+        self.assertEqual(status, FAILED)
         self.assertFalse(report["expectations"][0]["kept"])
 
     def test_the_same_seed_gives_the_same_plan(self):
@@ -189,12 +190,12 @@
             self.assertNotEqual(plans[0], plans[2], path)
             self.assertGreater(plans[0].count("\n"), 50)
 
-    def test_a_bad_scenario_is_refused_with_all_its_faults(self):
+    def test_an_invalid_scenario_is_rejected_with_all_its_faults(self):
         bad = scenario(
             '{at: 9s, do: "kil"}, {at: 1s, do: "shut", partner: "x"}'
         ).replace("rate: 30/s", "rate: 30")
         done = self.rehearse("run", self.file(bad))
-        self.assertEqual(done.returncode, BAD_SCENARIO)
+        self.assertEqual(done.returncode, INVALID_SCENARIO)
         self.assertIn('did you mean "kill"', done.stderr)
         self.assertIn("expected rate", done.stderr)
         for text, words in (
@@ -214,7 +215,7 @@
             ('{at: 1s, do: "slow", partner: "a", endpoint: 5}', "has 2 endpoints"),
         ):
             done = self.rehearse("check", self.file(scenario(text)))
-            self.assertEqual(done.returncode, BAD_SCENARIO, text)
+            self.assertEqual(done.returncode, INVALID_SCENARIO, text)
             self.assertIn(words, done.stderr)
         for text, words in (
             ("servce >= 1", "did you mean service"),
@@ -224,17 +225,17 @@
             done = self.rehearse(
                 "check", self.file(scenario() + 'expect: ["%s"]\n' % text)
             )
-            self.assertEqual(done.returncode, BAD_SCENARIO, text)
+            self.assertEqual(done.returncode, INVALID_SCENARIO, text)
             self.assertIn(words, done.stderr)
 
-    def test_every_shipped_scenario_is_good(self):
+    def test_every_shipped_scenario_is_valid(self):
         done = self.rehearse("list", ROOT / "rehearsals")
-        self.assertEqual(done.returncode, KEPT, done.stderr)
+        self.assertEqual(done.returncode, PASSED, done.stderr)
         self.assertGreaterEqual(done.stdout.count("\n"), 8)
 
-    def test_a_program_that_does_not_start_makes_it_void(self):
+    def test_a_program_that_does_not_start_makes_the_run_invalid(self):
         status, report = self.play(scenario(), "--forwarder", "/bin/false")
-        self.assertEqual(status, VOID)
+        self.assertEqual(status, INVALID_RUN)
         self.assertIn("at its start", report["void_because"])
 
     def test_an_interrupt_leaves_no_process_and_writes_the_report(self):
@@ -252,7 +253,7 @@
             stderr=subprocess.PIPE,
             text=True,
         )
-        process.stderr.readline()  # it plays once it tells its progress
+        process.stderr.readline()  # it is running once it prints its progress
         children = subprocess.run(
             ["ps", "--ppid", str(process.pid), "-o", "pid="],
             capture_output=True,
@@ -262,7 +263,7 @@
         process.send_signal(signal.SIGINT)
         process.stderr.read()
         process.stdout.read()
-        self.assertEqual(process.wait(timeout=LIMIT), VOID)
+        self.assertEqual(process.wait(timeout=TIMEOUT_S), INVALID_RUN)
         process.stdout.close()
         process.stderr.close()
         self.assertFalse(pathlib.Path("/proc", children[0]).exists())
