--- a/src/rehearsal/auditor.cpp
+++ b/src/rehearsal/auditor.cpp
@@ -77,7 +77,7 @@
   if (id >= submissions_.size()) return lines;
   const SubmissionState& submission = submissions_[id];
   lines.push_back("message " + std::to_string(submission.origin) + " for " +
-                  scenario_.partners[submission.partner].name + ", deadline at " +
+                  scenario_.partners[submission.partner].name + ", its time is up at " +
                   Text(submission.deadline));
   for (const Step& step : submission.steps) {
     std::string line = Text(step.at) + " " + kStepNames[static_cast<std::size_t>(step.what)];
@@ -109,7 +109,7 @@
       return HandleCut(e);
     case What::kNotice:
       if (e.submission == kUnknownSubmission)
-        ReportViolation(Rule::kOwn, e.at, "a notification for a message that no client submitted");
+        ReportViolation(Rule::kOwn, e.at, "a notice for a message nobody handed in");
       return;
     case What::kEndpointChange:
       return HandleEndpointChange(e);
@@ -141,7 +141,7 @@
   ReportViolation(Rule::kDrain, e.at,
                   "forwarder " + std::to_string(e.forwarder) + " calls endpoint " +
                       std::to_string(e.endpoint) + ", which is leaving, " +
-                      Text(e.at - told->second.reported_at) + " after the change was reported");
+                      Text(e.at - told->second.reported_at) + " after it was told");
 }
 
 void Auditor::HandleEndpointChange(const Event& e) {
@@ -302,13 +302,13 @@
     ReportViolation(Rule::kWait, e.at,
                     "forwarder " + std::to_string(e.forwarder) + " calls " +
                         scenario_.partners[e.partner].name + " " + Text(e.at - wait->second.at) +
-                        " after it received a wait of " +
+                        " after it was told to wait for " +
                         Text(wait->second.until - wait->second.at),
                     e.parts.empty() ? kUnknownSubmission : e.parts.front().submission);
   }
   for (const Event::Part& part : e.parts) {
     if (part.submission >= submissions_.size()) {
-      ReportViolation(Rule::kOwn, e.at, "a call with a message that no client submitted");
+      ReportViolation(Rule::kOwn, e.at, "a call with a message that nobody handed in");
       continue;
     }
     SubmissionState& submission = submissions_[part.submission];
@@ -324,7 +324,7 @@
           part.submission);
     }
     if (submission.calls_in_flight++ > 0)
-      ReportViolation(Rule::kOverlap, e.at, "two attempts at the same time", part.submission);
+      ReportViolation(Rule::kOverlap, e.at, "two attempts at once", part.submission);
     if (submission.attempts == kMaxAttempts + 1) {
       ReportViolation(Rule::kAttempts, e.at, "more than 12 attempts", part.submission);
     }
@@ -456,8 +456,8 @@
     if (submission.end == End::kNone || submission.ended > due) {
       ReportViolation(Rule::kLost, due,
                       submission.end == End::kNone
-                          ? "accepted and never ended"
-                          : "accepted and ended too late, at " + Text(submission.ended),
+                          ? "taken on, and never ended"
+                          : "taken on, and ended too late, at " + Text(submission.ended),
                       id);
     }
   }
--- a/src/rehearsal/auditor.hpp
+++ b/src/rehearsal/auditor.hpp
@@ -144,7 +144,7 @@
   // A stopped process cannot end a message, so its pending messages are not overdue until
   // kRestartGrace after it is resumed.
   void Paused(std::size_t forwarder, bool paused, Time at);
-  // Returns the result. No event may follow.
+  // Returns the result as of `now`, by which all events must have been processed.
   AuditResult Finish(Time now);
 
   // Returns whether any attempt for the message may have run; clients decide on retries by it.
@@ -225,7 +225,7 @@
     double delivered = 0;
     double refused = 0;
     double late = 0;
-    std::vector<double> times;  // seconds until the delivery
+    std::vector<double> times;  // delivery times in seconds
     std::vector<double> merchant_submitted;
     std::vector<double> merchant_delivered;
   };
--- a/src/rehearsal/fleet_auditor.cpp
+++ b/src/rehearsal/fleet_auditor.cpp
@@ -214,7 +214,7 @@
   } else if (!over_since_) {
     over_since_ = at;
   } else if (at - *over_since_ > kPollTolerance) {
-    ReportViolation(Rule::kSpared, at, "out or dead at the same time:" + who);
+    ReportViolation(Rule::kSpared, at, "out or dead at once:" + who);
     over_since_ = Time::max() / 2;  // reported once until the excess ends
   }
 }
--- a/src/rehearsal/fleet_auditor.hpp
+++ b/src/rehearsal/fleet_auditor.hpp
@@ -50,8 +50,8 @@
   // ---- what clients, partners and operators observe ----
   void SetStandby(std::size_t f, bool standby, Time at);  // according to its answer to PING
   void Handle(const Event& event);                        // processes calls to endpoints
-  void WorkRequested(Time at);                            // work
-  void WorkGranted(Time took);                            // a request was granted after this time
+  void WorkRequested(Time at);                            // an operator requested maintenance
+  void WorkGranted(Time took);  // such a request was granted, after this time
   // An endpoint is out according to a forwarder (`out`), or operators are about to request its
   // return.
   void SetEndpointOut(const std::string& id, bool out, Time at);
@@ -89,7 +89,7 @@
   const std::size_t count_;
   std::vector<bool> runs_, paused_;
   std::vector<std::vector<bool>> cut_;    // by sender and receiver
-  std::vector<std::vector<bool>> reach_;  // now
+  std::vector<std::vector<bool>> reach_;  // by pair: whether they reach each other now
   std::vector<std::vector<Time>> reach_since_;
   std::vector<bool> absent_;  // by member: no running member reaches it
   std::vector<Absence> absences_;
@@ -110,7 +110,7 @@
   std::map<std::string, std::string> work_states_;  // by request: last state
   std::set<std::string> out_requests_;              // requests whose target was reported as out
   std::map<std::string, std::size_t> endpoints_;
-  std::map<std::size_t, Time> out_since_;  // endpoints
+  std::map<std::size_t, Time> out_since_;  // by endpoint
   // By endpoint: time of return, calls since then.
   std::map<std::size_t, std::pair<Time, std::size_t>> back_since_;
   std::vector<RuleViolation> violations_;
--- a/src/rehearsal/malicious_peer.cpp
+++ b/src/rehearsal/malicious_peer.cpp
@@ -13,7 +13,7 @@
 // Kinds of frames: demand for a lease, conditions of endpoints.
 constexpr int kWant = 9, kWords = 11;
 constexpr int kDown = 2, kWait = 3, kCold = 4;  // observed conditions of an endpoint
-constexpr std::uint32_t kAnHour = 3'600'000;    // ms
+constexpr std::uint32_t kAnHour = 3'600'000;    // milliseconds
 constexpr std::size_t kMacBytes = 32;
 
 void Put(std::string& out, std::uint64_t value, int bytes) {
@@ -31,8 +31,8 @@
   Put(head, kVersion, 1);
   Put(head, static_cast<std::uint64_t>(kind), 1);
   for (const std::string& name : {fleet_, std::string(kName), to}) PutName(head, name);
-  Put(head, 4711, 8);        // of its folder
-  Put(head, 1ULL << 20, 8);  // its first incarnation
+  Put(head, 4711, 8);        // identity of its folder
+  Put(head, 1ULL << 20, 8);  // incarnation
   head += body;
   std::string all;
   Put(all, 4 + head.size() + kMacBytes, 4);
--- a/src/rehearsal/plan.cpp
+++ b/src/rehearsal/plan.cpp
@@ -10,7 +10,7 @@
 namespace brassfront::rehearsal {
 namespace {
 
-// Boost's distributions give the same values on all platforms
+// Boost's distributions give the same values on all platforms.
 using Random = boost::random::mt19937_64;
 
 constexpr double kClumpSpread = 0.1;  // seconds within which the messages of a clump arrive
--- a/src/rehearsal/report.cpp
+++ b/src/rehearsal/report.cpp
@@ -241,7 +241,7 @@
                 m.at("attempts_each"), m.at("refusals_above_limit"), m.at("applied_twice"));
   out += Format("  forwarders: %.1f MB and %.0f descriptors at most, %.2f s of CPU\n",
                 m.at("most_memory_mb"), m.at("most_sockets"), r.forwarder_cpu_seconds);
-  out += Format("  rehearsal: late p99 %.2f ms, at most %.1f ms; plan %s; %.1f s in total\n",
+  out += Format("  cast: late p99 %.2f ms, at most %.1f ms; plan %s; %.1f s in total\n",
                 r.late_p99_ms, r.late_max_ms, r.plan_hash.c_str(), r.wall_seconds);
   for (std::size_t i = 0; i < r.audit.violation_counts.size(); ++i) {
     if (r.audit.violation_counts[i] == 0) continue;
@@ -367,7 +367,7 @@
                     Escape(r.scenario.name) + ": <span class=\"" + status + "\">" + status +
                     "</span></h1><p>" + Escape(r.scenario.about) +
                     Format(
-                        "</p><p>Seed %llu, plan %s, %.1f s in total; the actions were late by %.2f "
+                        "</p><p>Seed %llu, plan %s, %.1f s in total; the cast was late by %.2f "
                         "ms at the 99th "
                         "percentile.",
                         static_cast<unsigned long long>(r.seed), r.plan_hash.c_str(),
@@ -396,14 +396,14 @@
   }
   const Chart chart(r, static_cast<double>(std::max<std::size_t>(1, r.audit.seconds.size())));
   out += chart.Stacked(
-      "Outcome of the messages by the second of their first submission",
+      "What became of the messages that were first handed in each second",
       {{"in time", "#2e7d4f", [](const SecondFigures& s) { return double(s.in_time); }},
        {"late", "#c9a227", [](const SecondFigures& s) { return double(s.late); }},
        {"refused", "#8a8fa3", [](const SecondFigures& s) { return double(s.refused); }},
        {"failed", "#b3261e", [](const SecondFigures& s) { return double(s.failed); }}});
-  out += chart.Lines(
-      "Pending messages: accepted and not ended",
-      {{"pending", "#1f5fa8", [](const SecondFigures& s) { return double(s.pending); }}});
+  out +=
+      chart.Lines("Pending messages: accepted and not ended",
+                  {{"held", "#1f5fa8", [](const SecondFigures& s) { return double(s.pending); }}});
   out += chart.Lines(
       "Attempts, calls and refusals per second",
       {{"attempts", "#1f5fa8", [](const SecondFigures& s) { return double(s.attempts); }},
@@ -411,13 +411,13 @@
        {"failed calls", "#c9a227", [](const SecondFigures& s) { return double(s.failed_calls); }},
        {"above a limit", "#b3261e", [](const SecondFigures& s) { return double(s.above_limit); }}});
   out += chart.HeatMap();
-  out += "<h2>Actions</h2><table><tr><th>At<th>For<th>What</tr>";
+  out += "<h2>Acts</h2><table><tr><th>At<th>For<th>What</tr>";
   for (const FaultAction& action : r.scenario.actions) {
     out += Format(R"(<tr><td class="n">%g s<td class="n">)", SecondsOf(action.at)) +
            (action.lasts > Time{} ? Format("%g s", SecondsOf(action.lasts)) : std::string("-")) +
            "<td>" + Escape(ActText(r.scenario, action)) + "</tr>";
   }
-  out += "</table><h2>Metrics</h2><table>";
+  out += "</table><h2>Figures</h2><table>";
   for (const auto& [name, value] : r.audit.metrics) {
     out += "<tr><td>" + name + "<td class=\"n\">" + MetricText(name, value) + "</tr>";
   }
--- a/src/rehearsal/run.cpp
+++ b/src/rehearsal/run.cpp
@@ -172,7 +172,7 @@
     if (result.invalid_reason.empty() && result.late_share > scenario_.late_share) {
       std::array<char, 120> text{};
       std::snprintf(text.data(), text.size(),
-                    "%.1f %% of the actions of the rehearsal were late by more than %" PRId64 " ms",
+                    "the cast was late: %.1f %% of its actions by over %" PRId64 " ms",
                     result.late_share * 100, std::int64_t{scenario_.late_by.count() / 1'000'000});
       result.invalid_reason = text.data();
     }
@@ -540,7 +540,7 @@
     context_.At(seconds(second), [this, second] {
       std::array<char, 160> text{};
       std::snprintf(text.data(), text.size(),
-                    "%4d s of %" PRId64 "  submitted %zu  pending %zu  late p99 %.1f ms", second,
+                    "%4d s of %" PRId64 "  handed in %zu  held %zu  late p99 %.1f ms", second,
                     std::int64_t{scenario_.duration.count() / 1'000'000'000},
                     context_.submissions.size(), context_.auditor.pending(),
                     static_cast<double>(context_.lateness.Quantile(0.99).count()) / 1e3);
--- a/src/rehearsal/scenario.hpp
+++ b/src/rehearsal/scenario.hpp
@@ -38,7 +38,7 @@
 
 struct Limit {
   bool window = false;  // true: a number of calls in each span; false: a rate
-  double calls = 0;     // a second
+  double calls = 0;     // calls per second
   Time span{};          // length of a window
   bool counts_refused = false;
   double told = 0;  // share of refusals that carry a wait
@@ -49,8 +49,8 @@
   std::uint64_t destination = 0;
   std::string kind;
   std::size_t batch = 1;      // messages in one call
-  std::size_t endpoints = 1;  // at the start
-  double weight = 1;          // of the traffic
+  std::size_t endpoints = 1;  // number at the start
+  double weight = 1;          // share of the traffic, relative to the other partners
   Time pace{};                // median time of a call
   double spread = 0;          // coefficient of variation of the call time
   double capacity = 0;        // calls with one message per second, over all endpoints
@@ -74,7 +74,7 @@
 };
 
 struct Clients {
-  double rate = 0;    // messages a second
+  double rate = 0;    // messages per second
   double clumps = 0;  // share of them that is sent in clumps to one partner
   Time clump{};       // size of a clump, as time that the partner needs at full capacity
   std::size_t retries = 0;
@@ -134,9 +134,9 @@
   FaultKind kind = FaultKind::kSlow;
   Time at{};
   Time lasts{};                         // duration; 0: until the end of the rehearsal
-  std::vector<std::size_t> partners;    // that it strikes
+  std::vector<std::size_t> partners;    // affected partners
   std::optional<std::size_t> endpoint;  // index among the partner's endpoints; unset: all
-  std::vector<std::size_t> forwarders;  // that it strikes
+  std::vector<std::size_t> forwarders;  // affected forwarders
   std::optional<std::size_t> merchant;
   double factor = 1;
   std::optional<Time> wait;  // wait that each refusal carries, if any
--- a/src/rehearsal/sharing_auditor.hpp
+++ b/src/rehearsal/sharing_auditor.hpp
@@ -46,7 +46,7 @@
   struct PartnerState {
     double limit = 0, previous_limit = 0;  // calls per second: now, and before it was last lowered
     std::optional<Time> lowered_at;
-    std::deque<Time> calls;  // of the last window
+    std::deque<Time> calls;  // calls in the last window
   };
   struct Failing {
     std::size_t partner = 0;
--- a/tests/rehearsal/auditor_test.cpp
+++ b/tests/rehearsal/auditor_test.cpp
@@ -387,7 +387,7 @@
   CHECK(j.violation_counts[static_cast<std::size_t>(Rule::kLost)] == 50);
   REQUIRE(j.violations.size() == Auditor::kMaxViolations);
   REQUIRE(j.violations[0].evidence.size() == 3);
-  CHECK(j.violations[0].evidence[0] == "message 0 for a, deadline at 11.000 s");
+  CHECK(j.violations[0].evidence[0] == "message 0 for a, its time is up at 11.000 s");
   CHECK(j.violations[0].evidence[1] == "1.000 s handed in 0");
   CHECK(j.violations[0].evidence[2] == "1.000 s taken");
 }
