--- a/src/rehearsal/name_server_stub.cpp
+++ b/src/rehearsal/name_server_stub.cpp
@@ -16,23 +16,23 @@
 namespace klass = dns::klass;
 namespace type = dns::type;
 
-// On addresses that are the rehearsal's own, so that no port of another's is meant.
+// Fixed port; no conflict arises, because the addresses belong to this rehearsal only.
 constexpr int kZonePort = 5300;
 constexpr const char* kSecret = "cmVoZWFyc2FsLWtleS1vZi10aGlydHktdHdvLWJ5dGU=";
 constexpr std::uint32_t kTtl = 5;
-constexpr std::chrono::milliseconds kBetweenTries{100};  // of an update
+constexpr std::chrono::milliseconds kBetweenTries{100};  // delay between attempts of an update
 
 std::string Text(const std::string& text) { return static_cast<char>(text.size()) + text; }
 
 }  // namespace
 
 NameServerStub::NameServerStub(const RunContext& context, EndpointStub& endpoints,
-                               std::string prefix, std::string out, OnTold on_told)
+                               std::string prefix, std::string out, OnConfirmed on_confirmed)
     : context_(context),
       endpoints_(endpoints),
       prefix_(std::move(prefix)),
       out_(std::move(out)),
-      on_told_(std::move(on_told)) {
+      on_confirmed_(std::move(on_confirmed)) {
   key_ = {Name::Known("rehearsal-key."), dns::Algorithm::kHmacSha256, *dns::FromBase64(kSecret)};
   nameserver::HostSettings settings;
   settings.server.address = prefix_ + "250:" + std::to_string(kZonePort);
@@ -43,7 +43,7 @@
     settings.server.notify.push_back(prefix_ + std::to_string(100 + f) + ":" +
                                      std::to_string(kZonePort));
     Write(f);
-    // The folder's updates are of this rehearsal alone.
+    // Remove the updates that an earlier rehearsal left in the folder.
     const std::string folder = out_ + "/zone-f" + std::to_string(f);
     std::filesystem::remove_all(folder);
     settings.zones.push_back({ZoneOf(f), folder + ".zone", folder, "", {}});
@@ -57,7 +57,7 @@
     const std::lock_guard lock(mutex_);
     stopping_ = true;
   }
-  filled_.notify_all();
+  jobs_changed_.notify_all();
   thread_.join();
 }
 
@@ -114,7 +114,7 @@
   return out_ + "/sources-f" + std::to_string(forwarder) + ".records";
 }
 
-void NameServerStub::Tell(std::size_t endpoint, DiscoveryStub::Phase phase) {
+void NameServerStub::QueueUpdate(std::size_t endpoint, DiscoveryStub::Phase phase) {
   for (std::size_t f = 0; f < context_.scenario.forwarders.count; ++f) {
     auto records = RecordsOf(f, endpoint);
     const Name host = records[2].name;
@@ -139,7 +139,7 @@
     const std::lock_guard lock(mutex_);
     jobs_.push_back(std::move(job));
   }
-  filled_.notify_all();
+  jobs_changed_.notify_all();
 }
 
 void NameServerStub::Work() {
@@ -148,17 +148,17 @@
   ask.key = key_;
   std::unique_lock lock(mutex_);
   while (true) {
-    filled_.wait(lock, [this] { return stopping_ || !jobs_.empty(); });
+    jobs_changed_.wait(lock, [this] { return stopping_ || !jobs_.empty(); });
     if (stopping_) return;
     const Job job = std::move(jobs_.front());
     jobs_.pop_front();
-    // What is not confirmed is sent again, signed anew: it comes to the same.
+    // An unconfirmed update is signed and sent again; applying it twice has the same result.
     for (bool done = false; !done && !stopping_;) {
       lock.unlock();
       const Time since = context_.Now();
       const auto asked = nameserver::AskServer(ask, job.update);
       done = asked.answer && asked.answer->rcode == dns::Rcode::kNoError;
-      if (done) on_told_(job.forwarder, job.endpoint, job.phase, since);
+      if (done) on_confirmed_(job.forwarder, job.endpoint, job.phase, since);
       if (!done) std::this_thread::sleep_for(kBetweenTries);
       lock.lock();
     }
--- a/src/rehearsal/partner_model.cpp
+++ b/src/rehearsal/partner_model.cpp
@@ -8,11 +8,11 @@
 namespace brassfront::rehearsal {
 namespace {
 
-constexpr double kItemCost = 0.1;  // of the pace, for each message of a call beyond the first
-// A plain rate lets so much of a second come at once.
+constexpr double kItemCost = 0.1;  // share of the call time for each message after the first
+// Burst that a rate limit allows, in seconds of the rate.
 constexpr double kBurstSeconds = 0.25;
 
-// Of a call, in calls with one message.
+// Returns the work of a call in units of calls with one message.
 double WorkOf(std::size_t messages) { return 1 + kItemCost * static_cast<double>(messages - 1); }
 }  // namespace
 
@@ -23,45 +23,47 @@
   for (std::int64_t i = 0; i < workers; ++i) free_at_.push(Time{});
 }
 
-double PartnerModel::Warmth(Time now) const {
+double PartnerModel::CapacityShare(Time now) const {
   if (!back_since_) return 1;
   const double passed = SecondsOf(now - *back_since_) / SecondsOf(warm_up_.warm);
   return std::min(1.0, warm_up_.share + (1 - warm_up_.share) * passed);
 }
 
 Time PartnerModel::ServiceTime(std::size_t messages) {
-  // A lognormal with this median and coefficient of variation.
+  // Lognormal distribution with this median and coefficient of variation.
   const double sigma = std::sqrt(std::log1p(partner_.spread * partner_.spread));
   boost::random::lognormal_distribution<double> time(std::log(SecondsOf(partner_.pace)), sigma);
   return FromSeconds(time(random_) * WorkOf(messages) * slow_);
 }
 
-// All that reaches a warm_up partner pushes it, what it turns away too.
-bool PartnerModel::Push(Time now, std::size_t messages, std::size_t forwarder) {
-  pushes_.push_back({now, WorkOf(messages), forwarder});
-  while (now - pushes_.front().at > warm_up_.fall) pushes_.pop_front();
-  if (!back_since_ || fallen_) return false;
-  const double warmth = Warmth(now);
-  if (warmth >= 1) return false;
-  // Only what came after the return counts.
+// Every received call counts as load on a partner in warm-up, even a refused one.
+bool PartnerModel::RecordWork(Time now, std::size_t messages, std::size_t forwarder) {
+  received_work_.push_back({now, WorkOf(messages), forwarder});
+  while (now - received_work_.front().at > warm_up_.fall) received_work_.pop_front();
+  if (!back_since_ || collapsed_) return false;
+  const double capacity_share = CapacityShare(now);
+  if (capacity_share >= 1) return false;
+  // Only calls after the end of the outage count.
   double work = 0;
-  for (const Pushes& p : pushes_) work += p.at >= *back_since_ ? p.work : 0;
-  if (work <= warm_up_.multiple * partner_.capacity * warmth * SecondsOf(warm_up_.fall) + 1) {
+  for (const ReceivedWork& p : received_work_) work += p.at >= *back_since_ ? p.work : 0;
+  if (work <=
+      warm_up_.multiple * partner_.capacity * capacity_share * SecondsOf(warm_up_.fall) + 1) {
     return false;
   }
-  fallen_ = true;
+  collapsed_ = true;
   return true;
 }
 
-std::map<std::size_t, double> PartnerModel::Pushed() const {
+std::map<std::size_t, double> PartnerModel::RecentWork() const {
   std::map<std::size_t, double> by_forwarder;
-  for (const Pushes& p : pushes_) {
+  for (const ReceivedWork& p : received_work_) {
     if (!back_since_ || p.at >= *back_since_) by_forwarder[p.forwarder] += p.work;
   }
   return by_forwarder;
 }
 
-// How long until there is room, if this call is above the limit.
+// Returns the time until the limit allows a call; `above` tells whether this call exceeds the
+// limit.
 std::optional<Time> PartnerModel::OverLimit(Time now, bool& above) {
   above = false;
   const Limit& limit = *partner_.limit;
@@ -73,21 +75,21 @@
     if (!above || limit.counts_refused) ++in_span_;
     return Time(limit.span.count() * (span + 1)) - now;
   }
-  // The generic cell rate algorithm (ITU-T I.371): spaced, with some that may come at once.
+  // The generic cell rate algorithm (ITU-T I.371): evenly spaced calls, with a limited burst.
   const Time gap = FromSeconds(1 / this->limit());
   const Time burst = std::max(gap, FromSeconds(kBurstSeconds));
   above = tokens_at_ - now > burst;
   if (!above || limit.counts_refused) tokens_at_ = std::max(tokens_at_, now) + gap;
-  // Refused calls that use the limit up do not push it away for good.
+  // Refused calls that use up the limit must not delay the next conforming call without bound.
   tokens_at_ = std::min(tokens_at_, now + burst + gap);
   return std::max(partner_.wait, tokens_at_ - burst - now);
 }
 
 PartnerModel::Status PartnerModel::Call(Time now, std::size_t messages, std::size_t forwarder) {
   Status status;
-  status.fell_over = Push(now, messages, forwarder);
+  status.collapsed = RecordWork(now, messages, forwarder);
   const Outage outage = this->outage(now);
-  if (fallen_) {
+  if (collapsed_) {
     status.what = What::kRefuse;
     return status;
   }
@@ -127,7 +129,7 @@
   }
   free_at_.pop();
   status.at = start + Time(static_cast<Time::rep>(
-                          static_cast<double>(ServiceTime(messages).count()) / Warmth(now)));
+                          static_cast<double>(ServiceTime(messages).count()) / CapacityShare(now)));
   free_at_.push(status.at);
   return status;
 }
@@ -137,7 +139,7 @@
   outage_until_ = until;
   outage_wait_ = wait;
   back_since_.reset();
-  fallen_ = false;
+  collapsed_ = false;
 }
 
 void PartnerModel::End(Time now) {
@@ -145,7 +147,7 @@
   outage_ = Outage::kNone;
   outage_until_ = now;
   back_since_ = now;
-  pushes_.clear();
+  received_work_.clear();
 }
 
 bool PartnerModel::IsRepeat(Time now, const std::string& key) {
--- a/src/rehearsal/supervisor.cpp
+++ b/src/rehearsal/supervisor.cpp
@@ -31,7 +31,7 @@
 
 std::int64_t Ns(Time time) { return time.count(); }
 
-// The fields of the settings object, from the scenario.
+// Returns the `settings` object of the configuration for the scenario.
 nlohmann::json SettingsOf(const Scenario& s) {
   using nlohmann::json;
   json realms = json::array(), shapes = json::array(), bundles = json::array(),
@@ -85,7 +85,7 @@
           {"weight-source", "rough"}};
 }
 
-// A line of the log behind its time and uptime, or as it is if it has none.
+// Returns a log line without its time and uptime, or unchanged if it has none.
 std::string WithoutTime(const std::string& line) {
   constexpr std::string_view kUptimeEnd = "ms ";
   const std::size_t uptime = line.find("Z +");
@@ -105,7 +105,7 @@
       children_(context.io, SIGCHLD),
       nodes_(context.scenario.forwarders.count) {
   for (std::size_t f = 0; f < nodes_.size(); ++f) {
-    // An address of its own: nobody else takes the port while it is down.
+    // Each forwarder has its own address, so that no other process takes its port while it is down.
     nodes_[f].address = {asio::ip::make_address(prefix + std::to_string(100 + f)), 0};
     std::filesystem::create_directories(out_ + "/n" + std::to_string(f));
   }
@@ -129,7 +129,7 @@
       {"name", "n" + std::to_string(forwarder)},
       {"listen", node.address.address().to_string() + ":" + std::to_string(node.address.port())},
       {"discovery", hooks_.discovery(forwarder)},
-      {"seed", WireId(context_.seed, forwarder, node.life)},
+      {"seed", WireId(context_.seed, forwarder, node.incarnation)},
       {"limits",
        {{"cores", 1.0},
         {"memory_mb", f.memory / kMiB},
@@ -144,76 +144,77 @@
 
 void Supervisor::Start(std::size_t forwarder) {
   Node& node = nodes_[forwarder];
-  ++node.life;
+  ++node.incarnation;
   node.planned = false;
   node.ended = nullptr;
   WriteConfig(forwarder);
   const std::string base = out_ + "/n" + std::to_string(forwarder);
   const std::string config = base + ".json";
   const std::string sources = hooks_.sources(forwarder);
-  std::vector<const char*> words = {program_.c_str(), "serve",   "--config",
-                                    config.c_str(),   "--state", base.c_str()};
-  if (!sources.empty()) words.insert(words.end(), {"--sources", sources.c_str()});
+  std::vector<const char*> arguments = {program_.c_str(), "serve",   "--config",
+                                        config.c_str(),   "--state", base.c_str()};
+  if (!sources.empty()) arguments.insert(arguments.end(), {"--sources", sources.c_str()});
   const std::string roster = hooks_.roster(forwarder);
-  if (!roster.empty()) words.insert(words.end(), {"--fleet", roster.c_str()});
-  words.push_back(nullptr);
+  if (!roster.empty()) arguments.insert(arguments.end(), {"--fleet", roster.c_str()});
+  arguments.push_back(nullptr);
   std::array<int, 2> ends{};
-  if (pipe2(ends.data(), O_CLOEXEC) != 0) throw std::runtime_error("no room for a pipe");
+  if (pipe2(ends.data(), O_CLOEXEC) != 0) throw std::runtime_error("cannot create a pipe");
   const pid_t parent = getpid();
   const rlim_t sockets = context_.scenario.forwarders.sockets;
   context_.io.notify_fork(asio::io_context::fork_prepare);
   const pid_t pid = fork();
   if (pid == 0) {
-    // It ends with the rehearsal, even if that is killed.
+    // The forwarder is killed when the rehearsal ends, even if that is killed.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (getppid() != parent) _exit(127);
     dup2(ends[1], STDERR_FILENO);
     dup2(ends[1], STDOUT_FILENO);
-    // Asio's sockets are kept over an exec. Guards against a listener that lives on in a forwarder.
+    // Asio's sockets stay open across exec. Close them, or a listener of the rehearsal would stay
+    // open in a forwarder.
     close_range(STDERR_FILENO + 1, ~0U, 0);
     const rlimit limit{sockets, sockets};
     setrlimit(RLIMIT_NOFILE, &limit);
-    signal(SIGXFSZ, SIG_IGN);  // a full disk is an error, and no signal
+    signal(SIGXFSZ, SIG_IGN);  // a full disk must cause a write error, not a signal
     sigset_t none;
     sigemptyset(&none);
     sigprocmask(SIG_SETMASK, &none, nullptr);
-    execv(program_.c_str(), const_cast<char* const*>(words.data()));
+    execv(program_.c_str(), const_cast<char* const*>(arguments.data()));
     _exit(127);
   }
   context_.io.notify_fork(asio::io_context::fork_parent);
   close(ends[1]);
   if (pid < 0) {
     close(ends[0]);
-    throw std::runtime_error("no room for a process");
+    throw std::runtime_error("cannot start a process");
   }
   node.pid = pid;
   node.line.clear();
   if (!node.file.is_open()) node.file.open(base + ".log", std::ios::app);
   node.log = std::make_unique<asio::posix::stream_descriptor>(context_.io, ends[0]);
-  ReadLog(forwarder, node.life);
+  ReadLog(forwarder, node.incarnation);
 }
 
-void Supervisor::ReadLog(std::size_t forwarder, std::uint64_t life) {
+void Supervisor::ReadLog(std::size_t forwarder, std::uint64_t incarnation) {
   Node& node = nodes_[forwarder];
   node.log->async_read_some(asio::buffer(node.bytes),
-                            [this, forwarder, life](error_code error, std::size_t n) {
+                            [this, forwarder, incarnation](error_code error, std::size_t n) {
                               Node& its = nodes_[forwarder];
-                              if (error || its.life != life) return;
+                              if (error || its.incarnation != incarnation) return;
                               its.file.write(its.bytes.data(), static_cast<std::streamsize>(n));
                               for (std::size_t i = 0; i < n; ++i) {
                                 if (its.bytes[i] != '\n') {
                                   its.line += its.bytes[i];
                                   continue;
                                 }
-                                TakeLine(forwarder, std::exchange(its.line, {}));
+                                HandleLine(forwarder, std::exchange(its.line, {}));
                               }
-                              ReadLog(forwarder, life);
+                              ReadLog(forwarder, incarnation);
                             });
 }
 
-// `2026-12-02T10:00:00.000Z +12ms serving name=n0 listen=127.1.2.100:4711`, with or without its
-// time.
-void Supervisor::TakeLine(std::size_t forwarder, const std::string& timed_line) {
+// `2026-12-02T10:00:00.000Z +12ms serving name=n0 listen=127.1.2.100:4711`, with or without the
+// time and uptime.
+void Supervisor::HandleLine(std::size_t forwarder, const std::string& timed_line) {
   const std::string line = WithoutTime(timed_line);
   hooks_.line(forwarder, line);
   const std::size_t at = line.find(" listen=");
@@ -223,35 +224,37 @@
   std::from_chars(line.data() + colon + 1, line.data() + line.size(), port);
   Node& node = nodes_[forwarder];
   node.address.port(port);
-  Ping(forwarder, node.life);
+  Ping(forwarder, node.incarnation);
 }
 
-// It is used once it has answered PING.
-void Supervisor::Ping(std::size_t forwarder, std::uint64_t life) {
+// The forwarder is ready once it has answered PING.
+void Supervisor::Ping(std::size_t forwarder, std::uint64_t incarnation) {
   struct Try {
     explicit Try(asio::io_context& io) : socket(io) {}
     tcp::socket socket;
     std::array<char, 64> bytes{};
   };
   auto attempt = std::make_shared<Try>(context_.io);
-  const auto again = [this, forwarder, life] {
-    if (nodes_[forwarder].life != life || nodes_[forwarder].pid <= 0) return;
-    context_.At(context_.Now() + kPingPause, [this, forwarder, life] { Ping(forwarder, life); });
+  const auto again = [this, forwarder, incarnation] {
+    if (nodes_[forwarder].incarnation != incarnation || nodes_[forwarder].pid <= 0) return;
+    context_.At(context_.Now() + kPingPause,
+                [this, forwarder, incarnation] { Ping(forwarder, incarnation); });
   };
   attempt->socket.async_connect(
-      nodes_[forwarder].address, [this, attempt, again, forwarder, life](error_code error) {
+      nodes_[forwarder].address, [this, attempt, again, forwarder, incarnation](error_code error) {
         if (error) return again();
         asio::async_write(attempt->socket, asio::buffer("*1\r\n$4\r\nPING\r\n", 14),
                           [](error_code, std::size_t) {});
         attempt->socket.async_read_some(
             asio::buffer(attempt->bytes),
-            [this, attempt, again, forwarder, life](error_code failed, std::size_t n) {
+            [this, attempt, again, forwarder, incarnation](error_code failed, std::size_t n) {
               const std::string reply(attempt->bytes.data(), failed ? 0 : n);
-              // One that is out for work comes back as such.
+              // A forwarder that is out for maintenance is still on standby after a restart.
               if (reply.rfind("+PONG", 0) != 0 && reply.rfind("-STANDBY", 0) != 0) {
                 return again();
               }
-              if (nodes_[forwarder].life != life || nodes_[forwarder].pid <= 0) return;
+              if (nodes_[forwarder].incarnation != incarnation || nodes_[forwarder].pid <= 0)
+                return;
               hooks_.ready(forwarder, nodes_[forwarder].address);
             });
       });
@@ -263,9 +266,9 @@
   node.planned = true;
   node.ended = std::move(ended);
   kill(node.pid, SIGTERM);
-  const std::uint64_t life = node.life;
-  context_.At(context_.Now() + kUntilKill, [this, forwarder, life] {
-    if (nodes_[forwarder].life == life && nodes_[forwarder].pid > 0) {
+  const std::uint64_t incarnation = node.incarnation;
+  context_.At(context_.Now() + kUntilKill, [this, forwarder, incarnation] {
+    if (nodes_[forwarder].incarnation == incarnation && nodes_[forwarder].pid > 0) {
       kill(nodes_[forwarder].pid, SIGKILL);
     }
   });
@@ -283,8 +286,8 @@
   if (nodes_[forwarder].pid > 0) kill(nodes_[forwarder].pid, pause ? SIGSTOP : SIGCONT);
 }
 
-// A bound on the size of files stands in for a disk without room: it needs no rights, and leaves
-// sockets and pipes alone.
+// A limit on the file size simulates a full disk. It needs no privileges and does not affect
+// sockets and pipes.
 void Supervisor::FullDisk(std::size_t forwarder, bool full) {
   if (nodes_[forwarder].pid <= 0) return;
   const rlimit limit{full ? 0 : RLIM_INFINITY, RLIM_INFINITY};
