--- a/src/forwarder/notification_outbox.cpp
+++ b/src/forwarder/notification_outbox.cpp
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-// The first delay, doubled for each further post, up to the longest.
+// Returns the first delay, doubled for each further post, up to the longest delay.
 milliseconds DelayAfter(std::uint32_t posts, milliseconds first, milliseconds longest) {
   milliseconds delay = first;
   for (std::uint32_t i = 1; i < posts && delay < longest; ++i) delay *= 2;
@@ -33,13 +33,13 @@
                   .order = next_order_,
                   .urgent_until = now + kUrgentTime};
   if (!pending_.try_emplace(notification.message, std::move(pending)).second) return;
-  new_.emplace(next_order_++, notification.message);
+  unposted_.emplace(next_order_++, notification.message);
 }
 
 void NotificationOutbox::Remove(MessageId message) {
   const auto it = pending_.find(message);
   if (it == pending_.end()) return;
-  new_.erase(it->second.order);
+  unposted_.erase(it->second.order);
   repeats_.erase({it->second.repeat_at, message});
   if (it->second.group != Group{}) --rejected_;
   pending_.erase(it);
@@ -52,17 +52,17 @@
   return BeginPost(batch, now);
 }
 
-// New ones go first, with whatever else is due. What was rejected goes by itself, in turn with
-// them.
+// New notifications go first, together with the repeats that are due. Rejected notifications go in
+// posts of their own, which alternate with the others.
 std::vector<NotificationOutbox::MessageId> NotificationOutbox::CollectBatch(Time now) {
   const std::optional<Group> rejected = FindRejectedGroup(now);
-  if (rejected && (rejected_are_next_ || new_.empty())) {
+  if (rejected && (rejected_are_next_ || unposted_.empty())) {
     rejected_are_next_ = false;
     return CollectRepeats(now, *rejected);
   }
   rejected_are_next_ = rejected.has_value();
   std::vector<MessageId> batch;
-  for (auto it = new_.begin(); it != new_.end() && batch.size() < kMaxBatchSize; ++it) {
+  for (auto it = unposted_.begin(); it != unposted_.end() && batch.size() < kMaxBatchSize; ++it) {
     batch.push_back(it->second);
   }
   const std::vector<MessageId> repeats = CollectRepeats(now, Group{});
@@ -72,12 +72,12 @@
 
 std::vector<NotificationOutbox::MessageId> NotificationOutbox::CollectRepeats(
     Time now, const Group& group) const {
-  // A platform that reads late reads the posts alone that do not make way: these carry more.
-  const bool is_patient = PatientPosts() < kMaxPatientPosts;
+  // A slow platform reads only the protected posts, so these also carry repeats that are not due.
+  const bool will_be_protected = CountProtectedPosts() < kMaxProtectedPosts;
   std::vector<MessageId> batch;
   for (const Repeat& repeat : repeats_) {
     const bool is_due = repeat.at <= now;
-    if (batch.size() >= group.max_batch || (!is_due && !is_patient)) break;
+    if (batch.size() >= group.max_batch || (!is_due && !will_be_protected)) break;
     const Pending& pending = pending_.at(repeat.message);
     const bool is_old = pending.added_at + kFirstRepeat <= now;
     if (pending.group == group && (is_due || is_old)) batch.push_back(repeat.message);
@@ -95,13 +95,13 @@
   return std::nullopt;
 }
 
-// Takes as much of the batch as fits.
+// Starts a post with as much of the batch as fits.
 NotificationOutbox::Post NotificationOutbox::BeginPost(const std::vector<MessageId>& batch,
                                                        Time now) {
   Post post{.id = next_post_++, .oldest_added_at = now};
   if (running_.size() >= kMaxPosts) {
-    const auto oldest = FindOldestImpatient();
-    post.makes_way = oldest->first;
+    const auto oldest = FindOldestReplaceable();
+    post.replaced_post = oldest->first;
     running_.erase(oldest);
   }
   for (const MessageId message : batch) {
@@ -119,7 +119,7 @@
   running_[post.id] = {.messages = post.messages,
                        .started_at = now,
                        .oldest_added_at = post.oldest_added_at,
-                       .patient = PatientPosts() < kMaxPatientPosts};
+                       .is_protected = CountProtectedPosts() < kMaxProtectedPosts};
   last_start_ = now;
   return post;
 }
@@ -155,7 +155,7 @@
   }
 }
 
-// The halves are posted by themselves until the one that can't be read is alone.
+// Each half is posted separately, until the notification that cannot be read is alone in a post.
 void NotificationOutbox::Reject(const RunningPost& post, PostEnd& end, Time now) {
   const std::size_t half = post.messages.size() / 2;
   for (const MessageId message : post.messages) {
@@ -172,8 +172,8 @@
   }
 }
 
-// A platform that rejects a share of all posts takes it the next time. It is not halved anew, so
-// that what can't be read costs one search.
+// A platform that rejects a share of all posts may accept the notification the next time. Its posts
+// are not halved again, so that an unreadable notification costs only one search.
 void NotificationOutbox::RejectAlone(MessageId message, Pending& pending, Time now) {
   const bool urgent = now < pending.urgent_until;
   SetGroup(pending, urgent ? Group{.rejected_alone = true} : Group{.max_batch = 1});
@@ -197,7 +197,7 @@
 
 void NotificationOutbox::RepostAll(Time now) {
   for (auto& [message, pending] : pending_) {
-    if (new_.count(pending.order) != 0) continue;
+    if (unposted_.count(pending.order) != 0) continue;
     pending.posts = pending.late_posts = 0;
     pending.urgent_until = now + kUrgentTime;
     RepeatAt(message, pending, now);
@@ -222,14 +222,14 @@
 }
 
 void NotificationOutbox::RepeatAt(MessageId message, Pending& pending, Time at) {
-  new_.erase(pending.order);
+  unposted_.erase(pending.order);
   repeats_.erase({pending.repeat_at, message});
   pending.repeat_at = at;
   repeats_.insert({at, message});
 }
 
 NotificationOutbox::Time NotificationOutbox::NextWakeUp() const {
-  if (!new_.empty()) return EarliestStart();
+  if (!unposted_.empty()) return EarliestStart();
   if (repeats_.empty()) return Time::max();
   return std::max(repeats_.begin()->at, EarliestStart());
 }
@@ -238,19 +238,20 @@
   if (running_.empty()) return Time::min();
   const Time spaced = last_start_ + kPostSpacing;
   if (running_.size() < kMaxPosts) return spaced;
-  return std::max(spaced, FindOldestImpatient()->second.started_at + kMinAgeToMakeWay);
+  return std::max(spaced, FindOldestReplaceable()->second.started_at + kMinAgeToReplace);
 }
 
-// Posts are numbered in the order of their starts. With kMaxPosts running there is one.
+// Post ids increase in the order of the starts. A replaceable post exists if kMaxPosts are running.
 std::map<NotificationOutbox::PostId, NotificationOutbox::RunningPost>::const_iterator
-NotificationOutbox::FindOldestImpatient() const {
+NotificationOutbox::FindOldestReplaceable() const {
   return std::find_if(running_.begin(), running_.end(),
-                      [](const auto& entry) { return !entry.second.patient; });
+                      [](const auto& entry) { return !entry.second.is_protected; });
 }
 
-std::size_t NotificationOutbox::PatientPosts() const {
-  return static_cast<std::size_t>(std::count_if(
-      running_.begin(), running_.end(), [](const auto& entry) { return entry.second.patient; }));
+std::size_t NotificationOutbox::CountProtectedPosts() const {
+  return static_cast<std::size_t>(
+      std::count_if(running_.begin(), running_.end(),
+                    [](const auto& entry) { return entry.second.is_protected; }));
 }
 
 std::optional<NotificationOutbox::Time> NotificationOutbox::OldestAddedAt() const {
--- a/src/operators/operator_commands.cpp
+++ b/src/operators/operator_commands.cpp
@@ -34,13 +34,14 @@
 }
 
 void OperatorCommands::Load() {
-  // Another owner may still change the file; it is written only once it was read here.
+  // A previous owner may still change the file. This process writes it only after reading it as the
+  // owner.
   const auto stored = owner_.Owns() ? file_.Read() : std::nullopt;
   if (stored) {
     excluded_.insert(stored->begin(), stored->end());
   } else {
-    observe::LogSeldom(Concern::kService, Level::kError, "exclusions cannot be read",
-                       {{"error", std::strerror(errno)}});
+    observe::LogRateLimited(Concern::kService, Level::kError, "exclusions cannot be read",
+                            {{"error", std::strerror(errno)}});
   }
   loaded_ = stored.has_value();
   Apply();
@@ -109,7 +110,7 @@
   return Store(endpoint);
 }
 
-// What holds in memory is on the disk before the operator is told yes.
+// The change must be on the disk before the operator gets a success reply.
 OperatorReply OperatorCommands::Store(const std::string& endpoint) {
   Retry();
   if (!write_is_due_) return {kOk, endpoint + "\n"};
@@ -122,8 +123,8 @@
   write_is_due_ = !file_.Write(excluded_);
   if (!write_is_due_) return;
   observe::Count("storage_errors_total", {"file", "exclusions"});
-  observe::LogSeldom(Concern::kService, Level::kError, "exclusions not stored",
-                     {{"error", std::strerror(errno)}});
+  observe::LogRateLimited(Concern::kService, Level::kError, "exclusions not stored",
+                          {{"error", std::strerror(errno)}});
 }
 
 }  // namespace brassfront
--- a/tests/faults/ownership_test.py
+++ b/tests/faults/ownership_test.py
@@ -1,8 +1,9 @@
-"""Two processes on one state folder, their crossings forced on real processes.
+"""Two processes on one state folder, with forced interleavings of real processes.
 
-A process that is started beside another one, which is ending or not, must neither lose
-nor repeat what that one has accepted, whatever either was doing at that moment.
-OWNERSHIP_ROUNDS in the environment repeats each crossing.
+A process that is started while another one still runs or shuts down must neither lose
+nor repeat the messages that the other one has accepted, whatever either is doing at
+that moment. The environment variable OWNERSHIP_ROUNDS sets how often each interleaving
+is repeated.
 """
 
 import os
@@ -18,7 +19,7 @@
 
 ROUNDS = int(os.environ.get("OWNERSHIP_ROUNDS", "1"))
 WAITING = "waiting for the state folder"
-LARGE_BODY = "x" * 40_000  # four of them, once delivered, make a compaction due
+LARGE_BODY = "x" * 40_000  # four such delivered messages trigger a compaction
 
 
 class OwnershipTest(FaultTest):
@@ -31,9 +32,9 @@
     def waits(self, forwarder):
         return any(WAITING in line for line in forwarder.log)
 
-    def start_beside(self):
-        """A process that has read what it reads at its start, and is held before it
-        listens; or one that waits for the other."""
+    def start_successor(self):
+        """Starts a process that has read its files and is held before it listens, or
+        that waits for the other process."""
         held = self.successor_faults.fail("bind", rig.HOLD_BEFORE)
         successor = self.launch(faults=self.successor_faults)
         wait_for(
@@ -43,8 +44,8 @@
         return successor
 
     def start_without_address(self):
-        """A successor that has tried more than once to get the address, in vain.
-        The rule `address_rule` counts its tries."""
+        """Starts a successor that has failed more than once to bind the address. The
+        rule `address_rule` counts its attempts to bind."""
         self.address_rule = self.successor_faults.fail("bind", rig.OBSERVE)
         successor = self.launch(faults=self.successor_faults)
         wait_for(
@@ -53,14 +54,16 @@
         )
         return successor
 
-    def note(self):
-        """What the owner of the folder has written into its file."""
+    def read_owner_file(self):
+        """Returns what the owner of the folder has written into the owner file."""
         return (self.state / "owner").read_text()
 
-    def assert_takes_over_note(self, successor, process, open_messages):
-        """The successor has read this last word of its predecessor."""
-        told = "predecessor=%d predecessor_open=%s" % (process.pid, open_messages)
-        wait_for("the note", lambda: any(told in line for line in successor.log))
+    def assert_reads_owner_file(self, successor, process, open_messages):
+        """Checks that the successor has read its predecessor's last owner file."""
+        expected = "predecessor=%d predecessor_open=%s" % (process.pid, open_messages)
+        wait_for(
+            "the owner file", lambda: any(expected in line for line in successor.log)
+        )
 
     def release(self, successor):
         self.successor_faults.end()
@@ -77,7 +80,8 @@
             self.assertLessEqual(len(self.calls_of(message)), 1, message)
 
     def hand_over(self, predecessor, successor):
-        """The predecessor accepts more and dies, the successor serves and dies."""
+        """The predecessor accepts more messages and dies; the successor serves and
+        dies."""
         self.accept()
         predecessor.end()
         self.release(successor)
@@ -88,43 +92,43 @@
         self.assertEqual([], [line for line in last.log if "unreadable" in line])
         last.end()
 
-    def play(self, crossing):
+    def play(self, scenario):
         for number in range(ROUNDS):
             with self.subTest(round=number):
-                self.set_mode(Endpoint.REJECT)  # what is accepted stays owed
+                self.set_mode(Endpoint.REJECT)  # accepted messages stay undelivered
                 predecessor = self.start()
                 self.accept()
-                crossing(predecessor)
+                scenario(predecessor)
                 self.faults.end()
                 self.successor_faults.end()
 
 
-class CrossingTest(OwnershipTest):
+class InterleavingTest(OwnershipTest):
     def test_predecessor_accepts_after_the_successor_has_read(self):
-        def crossing(predecessor):
-            self.hand_over(predecessor, self.start_beside())
+        def scenario(predecessor):
+            self.hand_over(predecessor, self.start_successor())
 
-        self.play(crossing)
+        self.play(scenario)
 
-    def cross_write(self, how, **options):
-        def crossing(predecessor):
+    def overlap_write(self, how, **options):
+        def scenario(predecessor):
             held = self.faults.fail("pwrite", how, **options)
             wait_for("a write", lambda: self.faults.hits(held) > 0)
-            successor = self.start_beside()
+            successor = self.start_successor()
             self.faults.end()
             self.hand_over(predecessor, successor)
 
-        self.play(crossing)
+        self.play(scenario)
 
     def test_predecessor_is_held_within_a_write(self):
-        self.cross_write(rig.HOLD_HALFWAY, bytes_moved=11)
+        self.overlap_write(rig.HOLD_HALFWAY, bytes_moved=11)
 
     def test_predecessor_is_held_before_a_write(self):
-        self.cross_write(rig.HOLD_BEFORE)
+        self.overlap_write(rig.HOLD_BEFORE)
 
     def compact(self, seen):
-        """Hands messages in until the folder is compacted: the spool records the end of
-        a message some time behind its delivery."""
+        """Submits messages until the spool is compacted. The spool records the end of a
+        message some time after its delivery."""
         self.set_mode(Endpoint.TAKE)
 
         def compacted():
@@ -135,8 +139,8 @@
         self.assert_all_end()
         self.set_mode(Endpoint.REJECT)
 
-    def cross_compaction(self, how):
-        def crossing(predecessor):
+    def overlap_compaction(self, how):
+        def scenario(predecessor):
             held = self.faults.fail("rename", how)
             self.set_mode(Endpoint.TAKE)
 
@@ -147,38 +151,38 @@
             client = threading.Thread(target=put_until_held)
             client.start()
             wait_for("a compaction", lambda: self.faults.hits(held) > 0)
-            successor = self.start_beside()
+            successor = self.start_successor()
             self.faults.end()
             client.join()
             self.set_mode(Endpoint.REJECT)
             self.hand_over(predecessor, successor)
 
-        self.play(crossing)
+        self.play(scenario)
 
     def test_predecessor_is_held_before_the_rename_of_a_compaction(self):
-        self.cross_compaction(rig.HOLD_BEFORE)
+        self.overlap_compaction(rig.HOLD_BEFORE)
 
-    def test_predecessor_is_held_behind_the_rename_of_a_compaction(self):
-        self.cross_compaction(rig.HOLD_AFTER)
+    def test_predecessor_is_held_after_the_rename_of_a_compaction(self):
+        self.overlap_compaction(rig.HOLD_AFTER)
 
     def test_predecessor_compacts_after_the_successor_has_read(self):
-        def crossing(predecessor):
+        def scenario(predecessor):
             seen = self.faults.fail("rename", rig.OBSERVE)
-            successor = self.start_beside()
+            successor = self.start_successor()
             self.compact(seen)
             self.accept()
             self.assertGreater(self.faults.hits(seen), 0)
             self.hand_over(predecessor, successor)
 
-        self.play(crossing)
+        self.play(scenario)
 
 
 class WaitTest(OwnershipTest):
-    """How long a process waits for the folder, and how that ends."""
+    """How long a process waits for the folder, and how the wait ends."""
 
     READY_S = 10  # after its predecessor's end
 
-    def wait_beside(self):
+    def start_waiting_successor(self):
         successor = self.launch(faults=self.successor_faults)
         wait_for("a process that waits", lambda: self.waits(successor))
         return successor
@@ -188,7 +192,7 @@
         self.assertLess(time.monotonic() - since, self.READY_S)
 
     def files(self):
-        """All files of the folder but the owner's note, as they are."""
+        """Returns the contents of all files in the folder except the owner file."""
         return {
             path.name: path.read_bytes()
             for path in self.state.iterdir()
@@ -196,19 +200,19 @@
         }
 
     def test_a_successor_takes_over_when_its_predecessor_is_killed(self):
-        def crossing(predecessor):
-            successor = self.wait_beside()
+        def scenario(predecessor):
+            successor = self.start_waiting_successor()
             self.accept()
             predecessor.end()
             self.assert_ready(successor, time.monotonic())
             self.assert_all_end_once()
             successor.end()
 
-        self.play(crossing)
+        self.play(scenario)
 
     def test_a_successor_takes_over_when_its_predecessor_has_shut_down(self):
-        def crossing(predecessor):
-            successor = self.wait_beside()
+        def scenario(predecessor):
+            successor = self.start_waiting_successor()
             self.accept()
             self.assertEqual(predecessor.end(signal.SIGTERM), 0)
             self.assert_ready(successor, time.monotonic())
@@ -219,14 +223,14 @@
                 wrong += [line for line in forwarder.log if "do not agree" in line]
                 self.assertEqual(wrong, [])
 
-        self.play(crossing)
+        self.play(scenario)
 
     def test_a_predecessor_that_is_stopped_keeps_what_it_owns(self):
-        def crossing(predecessor):
-            successor = self.wait_beside()
+        def scenario(predecessor):
+            successor = self.start_waiting_successor()
             before = self.files()
             predecessor.send_signal(signal.SIGSTOP)
-            second = self.wait_beside()
+            second = self.start_waiting_successor()
             second.end()
             self.assertEqual(self.files().keys(), before.keys())
             self.assertTrue(successor.alive())
@@ -237,7 +241,7 @@
             self.assert_all_end_once()
             successor.end()
 
-        self.play(crossing)
+        self.play(scenario)
 
     def test_a_process_that_waits_ends_on_a_signal_and_has_touched_nothing(self):
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGQUIT):
@@ -248,7 +252,7 @@
                 self.assert_all_end()
                 predecessor.send_signal(signal.SIGSTOP)
                 before = self.files()
-                successor = self.wait_beside()
+                successor = self.start_waiting_successor()
                 successor.send_signal(signal.SIGHUP)
                 self.assertEqual(successor.end(number), 0)
                 self.assertEqual(self.files(), before)
@@ -257,9 +261,9 @@
                 self.assert_all_end_once()
                 predecessor.end()
 
-    def test_a_process_that_waits_in_vain_says_who_owns_the_folder(self):
+    def test_a_process_whose_wait_times_out_logs_who_owns_the_folder(self):
         predecessor = self.start()
-        successor = self.wait_beside()
+        successor = self.start_waiting_successor()
         self.successor_faults.step_monotonic_clock(60)
         self.assertEqual(successor.process.wait(timeout=rig.LIMIT), os.EX_UNAVAILABLE)
         owned = "is owned by process %d" % predecessor.process.pid
@@ -309,14 +313,14 @@
                 predecessor.end()
                 rule = self.faults.fail("flock", error)
                 successor = self.start()
-                self.assertIsNone(self.put())  # rejected: nobody owns the spool
+                self.assertIsNone(self.put())  # rejected: no process owns the spool
                 self.assertGreater(self.faults.hits(rule), 1)
                 self.faults.end()
                 self.put_accepted()
                 self.assert_all_end_once()
                 successor.end()
 
-    def test_a_file_system_without_locks_is_used_by_who_has_the_address(self):
+    def test_a_file_system_without_locks_is_used_by_the_address_owner(self):
         for error in ("EOPNOTSUPP", "ENOSYS"):
             with self.subTest(error):
                 self.set_mode(Endpoint.REJECT)
@@ -324,9 +328,9 @@
                 self.successor_faults.fail("flock", error)
                 predecessor = self.start()
                 self.accept()
-                before = self.note()
+                before = self.read_owner_file()
                 successor = self.start_without_address()
-                self.assertEqual(self.note(), before)
+                self.assertEqual(self.read_owner_file(), before)
                 self.accept()
                 predecessor.end()
                 self.await_serving(successor)
@@ -337,7 +341,7 @@
                 self.faults.end()
                 self.successor_faults.end()
 
-    def test_a_lock_that_is_interrupted_is_asked_for_again(self):
+    def test_a_lock_that_is_interrupted_is_retried(self):
         self.faults.fail("flock", "EINTR", times=5)
         forwarder = self.start()
         self.set_mode(Endpoint.TAKE)
@@ -346,7 +350,7 @@
         forwarder.end()
 
     def test_a_folder_that_could_not_be_locked_is_not_shared_later(self):
-        """The first process is without its lock when the second one gets it."""
+        """The first process has no lock when the second one gets it."""
         rule = self.faults.fail("flock", "ENOLCK")
         self.start()
         wait_for("a second try", lambda: self.faults.hits(rule) > 1)
@@ -363,10 +367,10 @@
 
 
 class UnlockedPredecessorTest(OwnershipTest):
-    """A predecessor of a version that knows no lock: it has the address alone."""
+    """The predecessor is of a version without locks: it only owns the address."""
 
     def start_unlocked(self):
-        rule = self.faults.fail("flock", rig.PRETEND)
+        rule = self.faults.fail("flock", rig.FAKE_SUCCESS)
         predecessor = self.start()
         self.assertGreater(self.faults.hits(rule), 0)
         return predecessor
@@ -389,49 +393,49 @@
                 self.assert_all_end_once()
                 last.end()
 
-    # Guards against a successor that overwrites the note of a predecessor which lives,
-    # and so never learns how many messages that one has left open.
-    def test_a_successor_leaves_the_note_of_a_living_predecessor(self):
+    # Guards against a successor that overwrites the owner file of a living predecessor,
+    # and so never learns how many messages the predecessor left open.
+    def test_a_successor_does_not_overwrite_a_living_predecessors_owner_file(self):
         for number in range(ROUNDS):
             with self.subTest(round=number):
                 self.set_mode(Endpoint.REJECT)
                 predecessor = self.start_unlocked()
                 self.accept()
-                before = self.note()
+                before = self.read_owner_file()
                 self.assertIn("pid %d\n" % predecessor.process.pid, before)
                 successor = self.start_without_address()
-                self.assertEqual(self.note(), before)
+                self.assertEqual(self.read_owner_file(), before)
                 self.assertEqual(predecessor.end(signal.SIGTERM), 0)
                 self.faults.end()
                 self.successor_faults.end()
                 self.await_serving(successor)
-                self.assert_takes_over_note(successor, predecessor.process, 3)
+                self.assert_reads_owner_file(successor, predecessor.process, 3)
                 self.assert_all_end_once()
                 successor.end()
                 self.accepted.clear()
 
-    # Guards against a start that locks the folder, does not get the address, and takes
-    # the last word of its predecessor with it.
-    def test_a_start_without_the_address_leaves_the_last_word(self):
+    # Guards against a start that locks the folder, does not get the address, and
+    # destroys the last owner file of its predecessor.
+    def test_a_start_without_the_address_does_not_overwrite_the_owner_file(self):
         self.set_mode(Endpoint.REJECT)
         predecessor = self.start()
         self.accept()
         self.assertEqual(predecessor.end(signal.SIGTERM), 0)
-        before = self.note()
+        before = self.read_owner_file()
         self.assertIn("open 3\n", before)
         host, port = self.listen.split(":")
         with socket.create_server((host, int(port))):
             stopped = self.start_without_address()
-            self.assertEqual(self.note(), before)
+            self.assertEqual(self.read_owner_file(), before)
             self.assertEqual(stopped.end(signal.SIGTERM), 0)
             self.successor_faults.end()
             late = self.start_without_address()
             self.successor_faults.step_monotonic_clock(60)
             status = late.process.wait(timeout=rig.LIMIT)
             self.assertEqual(status, os.EX_UNAVAILABLE)
-            self.assertEqual(self.note(), before)
+            self.assertEqual(self.read_owner_file(), before)
         successor = self.start()
-        self.assert_takes_over_note(successor, predecessor.process, 3)
+        self.assert_reads_owner_file(successor, predecessor.process, 3)
         self.assert_all_end_once()
         successor.end()
 
@@ -450,7 +454,7 @@
     def test_the_address_is_waited_for_as_long_as_a_shutdown_takes(self):
         predecessor = self.start_unlocked()
         successor = self.start_without_address()
-        for seconds in (10, 20):  # as if so much time had passed
+        for seconds in (10, 20):  # as if that time had passed
             self.successor_faults.step_monotonic_clock(seconds)
             seen = self.successor_faults.hits(self.address_rule)
             wait_for(
@@ -464,10 +468,10 @@
         predecessor.end()
 
 
-class TwiceTest(OwnershipTest):
+class SecondProcessTest(OwnershipTest):
     def test_a_second_process_started_by_mistake_changes_nothing(self):
-        def crossing(predecessor):
-            successor = self.start_beside()
+        def scenario(predecessor):
+            successor = self.start_successor()
             self.successor_faults.end()
             self.accept()
             successor.end()
@@ -477,7 +481,7 @@
             self.assert_all_end_once()
             last.end()
 
-        self.play(crossing)
+        self.play(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/faults/state_test.py
+++ b/tests/faults/state_test.py
@@ -1,7 +1,7 @@
-"""A folder that fails for a while, a kill in each write, a wall clock that steps.
+"""State folder failures, kills during writes, and steps of the wall clock.
 
-What was accepted is still owed: it is delivered or ends with a notice, once, and
-nothing that may not be repeated runs twice.
+Every accepted message must still be delivered or end with a notice, exactly once, and a
+message that may not be repeated must not run twice.
 """
 
 import signal
@@ -11,22 +11,23 @@
 import rig
 from rig import Endpoint, FaultTest, wait_for
 
-RETRY_S = 5  # s; within which a folder that is well again is in use again
+RETRY_S = 5  # s; longest time until a recovered folder is used again
 
 
 class StateTest(FaultTest):
-    def owe(self, count=3, **options):
-        """Accepted messages that a killed process left, none of which has run."""
+    def accept_undelivered(self, count=3, **options):
+        """Returns accepted messages that a killed process left; none of them has
+        run."""
         self.set_mode(Endpoint.REJECT)
         forwarder = self.start()
-        owed = [self.put_accepted(**options) for _ in range(count)]
+        undelivered = [self.put_accepted(**options) for _ in range(count)]
         forwarder.end()
         self.set_mode(Endpoint.TAKE)
-        return owed
+        return undelivered
 
 
 class FolderTest(StateTest):
-    def test_owed_messages_survive_a_start_at_which_the_folder_fails(self):
+    def test_undelivered_messages_survive_a_start_while_the_folder_fails(self):
         for call, error in (
             ("open", "EIO"),
             ("open", "EMFILE"),
@@ -35,12 +36,12 @@
         ):
             for skip in (0, 1, 2, 5):
                 with self.subTest(call=call, error=error, skip=skip):
-                    owed = self.owe()
+                    undelivered = self.accept_undelivered()
                     self.faults.fail(call, error, skip=skip)
                     forwarder = self.start()
                     self.put()
                     self.faults.end()
-                    for message in owed:
+                    for message in undelivered:
                         wait_for("the call", lambda: self.calls_of(message))
                     self.put_accepted()  # the folder is in use again
                     self.assert_all_end()
@@ -59,19 +60,19 @@
                     self.assert_all_end()
                     forwarder.end()
 
-    def test_a_torn_tail_is_cut_and_kept_beside_the_spool(self):
-        owed = self.owe()
+    def test_a_torn_tail_is_cut_off_and_saved_in_another_file(self):
+        undelivered = self.accept_undelivered()
         with open(self.state / "spool", "ab") as spool:
             spool.write(b"\x20\x00\x00\x00torn")
         self.start()
-        for message in owed:
+        for message in undelivered:
             wait_for("the call", lambda: self.calls_of(message))
         self.assertIn(b"torn", (self.state / "spool.cut").read_bytes())
 
-    def test_a_flipped_bit_costs_one_message_at_most(self):
+    def test_a_flipped_bit_loses_at_most_one_message(self):
         for quarter in (1, 2, 3):
             with self.subTest(quarter=quarter):
-                owed = self.owe(8)
+                undelivered = self.accept_undelivered(8)
                 path = self.state / "spool"
                 stored = bytearray(path.read_bytes())
                 stored[len(stored) * quarter // 4] ^= 1
@@ -82,24 +83,26 @@
                     lambda: any("spool damaged" in line for line in forwarder.log),
                 )
                 wait_for(
-                    "all but one to end", lambda: sum(map(self.is_over, owed)) >= 7
+                    "all but one to end",
+                    lambda: sum(map(self.is_over, undelivered)) >= 7,
                 )
                 forwarder.end(signal.SIGTERM)
                 self.accepted.clear()
 
     def bodies_of(self, message):
-        """What the endpoints were sent of the message, by any process."""
+        """Returns the bodies that any process sent to the endpoints for the message."""
         calls = [call for e in self.endpoints.values() for call in list(e.calls)]
         return {call["body"] for call in calls if call["id"] == message}
 
-    # Guards against an accepted message without an end: its record was intact when the
-    # file was read, and is not when the message is restored.
-    def test_a_record_that_changes_behind_the_read_ends_with_a_notice(self):
-        self.config["admin"] = rig.free_address()  # its file is opened behind the read
+    # Guards against an accepted message that never ends: its record was intact when the
+    # file was read, but is damaged when the message is restored.
+    def test_a_record_that_changes_after_the_read_ends_with_a_notice(self):
+        # With an operator address the exclusions file is opened after the read.
+        self.config["admin"] = rig.free_address()
         path = self.state / "spool"
         for opens in range(20):
-            others = self.owe()
-            (message,) = self.owe(1, body="before")
+            others = self.accept_undelivered()
+            (message,) = self.accept_undelivered(1, body="before")
             held = self.faults.fail("open", rig.HOLD_BEFORE, skip=opens)
             forwarder = self.launch()
             wait_for("a held open", lambda: self.faults.hits(held) > 0)
@@ -112,9 +115,10 @@
             if any(again in line for line in forwarder.log):
                 break
             self.assertTrue(any("spool damaged" in line for line in forwarder.log))
-            forwarder.end()  # it was held too early: the file was not read yet
+            forwarder.end()  # held before the spool was read: try a later open
         wait_for("the notice", lambda: self.notices_of(message))
-        # An endpoint may take late, and unchanged, what the killed process had sent.
+        # An endpoint may still accept the unchanged body that the killed process had
+        # sent.
         self.assertLessEqual(self.bodies_of(message), {b"before"})
         self.assertIn(b"behind", (self.state / "spool.cut").read_bytes())
         self.put_accepted()
@@ -126,7 +130,7 @@
         self.assertFalse(any("spool differs" in line for line in second.log))
         self.assertFalse(any("spool damaged" in line for line in second.log))
 
-    def test_a_file_that_is_no_spool_is_kept_aside(self):
+    def test_a_file_that_is_not_a_spool_is_saved_in_another_file(self):
         (self.state / "spool").write_bytes(b"something else of the operators'")
         self.start()
         self.put_accepted()
@@ -135,7 +139,7 @@
         self.assertIn(b"something else", kept)
 
     def test_an_end_that_could_not_be_written_is_written_later(self):
-        """Else the next process would deliver the message again."""
+        """Otherwise the next process would deliver the message again."""
         for error in ("ENOSPC", "EIO"):
             with self.subTest(error):
                 self.set_mode(Endpoint.HOLD)
@@ -152,7 +156,8 @@
                 self.faults.end()
                 self.put_accepted()
                 self.assert_all_end()
-                time.sleep(RETRY_S / 2)  # what is written later has no sign outside
+                # The delayed write cannot be observed from outside.
+                time.sleep(RETRY_S / 2)
                 forwarder.end()
                 calls = len(self.calls_of(message))
                 second = self.start()
@@ -161,7 +166,7 @@
                 self.assertEqual(len(self.calls_of(message)), calls)
                 second.end()
 
-    def test_a_full_disk_rejects_and_is_left_behind(self):
+    def test_messages_are_rejected_while_the_disk_fails_and_accepted_again_later(self):
         for call, error in (("pwrite", "ENOSPC"), ("rename", "EIO"), ("open", "EIO")):
             with self.subTest(call=call, error=error):
                 forwarder = self.start()
@@ -178,10 +183,10 @@
     def test_short_transfers_are_completed(self):
         for call in ("pread", "pwrite"):
             with self.subTest(call):
-                owed = self.owe()
+                undelivered = self.accept_undelivered()
                 self.faults.fail(call, rig.SHORT, bytes_moved=3)
                 forwarder = self.start()
-                for message in owed:
+                for message in undelivered:
                     wait_for("the call", lambda: self.calls_of(message))
                 self.put_accepted()
                 self.assert_all_end()
@@ -212,14 +217,14 @@
 class ClockTest(StateTest):
     CLASS = {"dedup-window": 1_000_000_000}  # ns
 
-    def test_owed_messages_outlive_a_step_of_the_wall_clock(self):
+    def test_undelivered_messages_survive_a_step_of_the_wall_clock(self):
         for step in (2, -2, 3600, -3600):
             with self.subTest(step):
                 self.faults.step_clock(0)
-                owed = self.owe(left_ms=20000)
+                undelivered = self.accept_undelivered(left_ms=20000)
                 self.faults.step_clock(step)
                 forwarder = self.start()
-                for message in owed:
+                for message in undelivered:
                     wait_for("the call", lambda: self.calls_of(message))
                     self.assertEqual(self.notices_of(message), [])
                 forwarder.end()
@@ -241,9 +246,9 @@
                     self.assertEqual(self.notices_of(message), [])
                 forwarder.end()
 
-    def test_a_step_does_not_reopen_the_window_of_repeats(self):
-        """An attempt that may have run is not repeated once its key is forgotten,
-        however the wall clock was stepped meanwhile."""
+    def test_a_step_does_not_reopen_the_dedup_window(self):
+        """An attempt that may have run is not repeated after its idempotency key has
+        expired, whatever step the wall clock made meanwhile."""
         for step in (-2, -3600):
             with self.subTest(step):
                 self.faults.step_clock(0)
@@ -252,7 +257,7 @@
                 message = self.put_accepted(left_ms=20000)
                 wait_for("a call", lambda: self.hangs(message))
                 forwarder.end()
-                time.sleep(1.1)  # the window itself, in real time
+                time.sleep(1.1)  # longer than the dedup window, in real time
                 self.faults.step_clock(step)
                 self.set_mode(Endpoint.TAKE)
                 forwarder = self.start()
--- a/tests/policy/endpoint_registry_test.cpp
+++ b/tests/policy/endpoint_registry_test.cpp
@@ -7,7 +7,7 @@
 
 TEST(EndpointRegistry, SendsNothingNewToDrainingOrMissingEndpoints) {
   PolicyDriver driver;
-  driver.At(1s, {One()});
+  driver.At(1s, {OneEndpoint()});
   driver.At(2s,
             {EndpointList{2,
                           ListForm::kChanges,
@@ -24,14 +24,15 @@
 
 TEST(EndpointRegistry, ForgetsEndpointsThatWereRemovedLongAgo) {
   PolicyDriver driver;
-  driver.At(0s, {One(), Arrive(1)});
+  driver.At(0s, {OneEndpoint(), Arrive(1)});
   driver.At(1s, {driver.End(1, Outcome::kConnectFailed)});
   driver.At(2s, {driver.End(1, Outcome::kConnectFailed), Listed({}, 2)});
   driver.At(62s, {Listed({}, 3)});
   std::vector<Event> events{Listed({{.endpoint = 1, .destination = 1}}, 4)};
   for (MessageId id = 2; id <= 5; ++id) events.emplace_back(Arrive(id));
   driver.At(63s, events);
-  EXPECT_GE(driver.ActionsOf<SendAttempt>().size(), 4u);  // one at a time had its failure been kept
+  // If the earlier failure had been kept, there would be one call at a time.
+  EXPECT_GE(driver.ActionsOf<SendAttempt>().size(), 4u);
 }
 
 TEST(EndpointRegistry, IgnoresAnOlderList) {
