--- a/src/dns/message.cpp
+++ b/src/dns/message.cpp
@@ -167,12 +167,12 @@
     while (wire[at] != 0) {
       const std::string rest = wire.substr(at);
       if (compress) {
-        if (const auto known = places_.find(rest); known != places_.end()) {
+        if (const auto known = name_offsets_.find(rest); known != name_offsets_.end()) {
           Put16(bytes_, 0xc000u | static_cast<std::uint32_t>(known->second));
           return;
         }
       }
-      if (bytes_.size() <= kMaxPointer) places_.emplace(rest, bytes_.size());
+      if (bytes_.size() <= kMaxPointer) name_offsets_.emplace(rest, bytes_.size());
       const auto length = 1u + static_cast<unsigned char>(wire[at]);
       bytes_.append(wire, at, length);
       at += length;
@@ -206,14 +206,14 @@
     bytes_[length_at + 1] = static_cast<char>(length);
   }
 
-  void CutTo(std::size_t size) {
+  void TruncateTo(std::size_t size) {
     bytes_.resize(size);
-    std::erase_if(places_, [size](const auto& place) { return place.second >= size; });
+    std::erase_if(name_offsets_, [size](const auto& place) { return place.second >= size; });
   }
 
  private:
   std::string bytes_;
-  std::map<std::string, std::size_t> places_;
+  std::map<std::string, std::size_t> name_offsets_;
 };
 
 std::string OptBytes(const Edns& edns, Rcode rcode) {
@@ -360,7 +360,7 @@
         ++counts[section + 1];
         continue;
       }
-      writer.CutTo(before);
+      writer.TruncateTo(before);
       truncated = section != 2;
       break;
     }
@@ -407,7 +407,7 @@
   }
 }
 
-std::string InStream(std::string_view message) {
+std::string WithLengthPrefix(std::string_view message) {
   std::string out;
   Put16(out, static_cast<std::uint32_t>(message.size()));
   return out.append(message);
--- a/src/dns/message.hpp
+++ b/src/dns/message.hpp
@@ -117,7 +117,7 @@
   std::string pending_;  // a length, and what has come of its message
   std::deque<std::string> messages_;
 };
-std::string InStream(std::string_view message);  // with its length before it
+std::string WithLengthPrefix(std::string_view message);  // with its length before it
 
 }  // namespace brassfront::dns
 
--- a/src/dns/name.cpp
+++ b/src/dns/name.cpp
@@ -105,7 +105,7 @@
   return Name(std::move(wire));
 }
 
-std::optional<std::size_t> Name::LengthIn(std::string_view bytes) {
+std::optional<std::size_t> Name::WireLength(std::string_view bytes) {
   for (std::size_t at = 0; at < bytes.size() && at < kMaxBytes;) {
     const auto length = static_cast<unsigned char>(bytes[at]);
     if (length > kMaxLabelBytes) return std::nullopt;
@@ -116,7 +116,7 @@
 }
 
 std::optional<Name> Name::TakeWire(std::string_view& bytes) {
-  const auto length = LengthIn(bytes);
+  const auto length = WireLength(bytes);
   if (!length) return std::nullopt;
   Name name{std::string(bytes.substr(0, *length))};
   bytes.remove_prefix(*length);
--- a/src/dns/name.hpp
+++ b/src/dns/name.hpp
@@ -25,7 +25,7 @@
   // From labels with their lengths, the root's included. Nothing if that is not all of the bytes.
   static std::optional<Name> FromWire(std::string_view wire);
   // How many of the bytes the name is that starts them; nothing if none does.
-  static std::optional<std::size_t> LengthIn(std::string_view bytes);
+  static std::optional<std::size_t> WireLength(std::string_view bytes);
   // The name that starts the bytes, which is taken off; nothing, and all left, if none does.
   static std::optional<Name> TakeWire(std::string_view& bytes);
   // A name that is written in this program.
--- a/src/dns/rdata.cpp
+++ b/src/dns/rdata.cpp
@@ -326,7 +326,7 @@
     case kName:
     case kPlainName:
     case kStrictName:
-      return Name::LengthIn(bytes);
+      return Name::WireLength(bytes);
     case kStrings: {
       std::size_t at = 0;
       while (at < bytes.size()) at += 1 + static_cast<unsigned char>(bytes[at]);
--- a/src/dns/transfer.cpp
+++ b/src/dns/transfer.cpp
@@ -9,20 +9,20 @@
 namespace {
 
 // Of one message: small enough to be worked on in one piece, large enough to compress well.
-constexpr std::size_t kPartBytes = std::size_t{16} * 1024;
+constexpr std::size_t kMaxTransferMessageBytes = std::size_t{16} * 1024;
 
 // Cuts a stream of records into messages.
-class Parts {
+class MessageWriter {
  public:
-  Parts(const Message& request, TsigSession* session, std::uint64_t now)
-      : request_(request), session_(session), now_(now), part_(Start()) {}
+  MessageWriter(const Message& request, TsigSession* session, std::uint64_t now)
+      : request_(request), session_(session), now_(now), message_(Start()) {}
 
   void Add(const Record& record) {
     constexpr std::size_t kHead = 10;
     const std::size_t size = record.name.wire().size() + kHead + record.rdata.size();
-    if (bytes_ > 0 && bytes_ + size > kPartBytes) End();
+    if (bytes_ > 0 && bytes_ + size > kMaxTransferMessageBytes) End();
     bytes_ += size;
-    part_.answer.push_back(record);
+    message_.answer.push_back(record);
   }
 
   std::vector<std::string> Take() {
@@ -38,56 +38,56 @@
   }
 
   void End() {
-    std::string bytes = Encode(part_);
+    std::string bytes = Encode(message_);
     messages_.push_back(session_ != nullptr ? session_->Sign(std::move(bytes), now_)
                                             : std::move(bytes));
-    part_ = Start();
+    message_ = Start();
     bytes_ = 0;
   }
 
   const Message& request_;
   TsigSession* session_;
   std::uint64_t now_;
-  Message part_;
+  Message message_;
   std::size_t bytes_ = 0;
   std::vector<std::string> messages_;
 };
 
 // What a transfer has beside the SOA: nothing, the changes since a serial, or the whole zone.
 struct TransferContent {
-  bool soa_alone = false;
+  bool soa_only = false;
   std::optional<std::vector<const Change*>> changes;
 };
 
 TransferContent ContentFor(const Zone& zone, const Message& request) {
   if (request.question[0].type != type::kIxfr) return {};
-  const auto from = SerialAskedFrom(request);
+  const auto from = ClientSerial(request);
   if (!from) return {};
-  return {*from == zone.serial() || IsNewer(*from, zone.serial()), zone.Since(*from)};
+  return {*from == zone.serial() || IsNewer(*from, zone.serial()), zone.ChangesSince(*from)};
 }
 
 std::vector<std::string> WriteTransfer(const Zone& zone, const Message& request,
                                        const TransferContent& content, TsigSession* session,
                                        std::uint64_t now) {
   const Record soa = zone.Soa();
-  Parts parts(request, session, now);
-  parts.Add(soa);
-  if (content.soa_alone) return parts.Take();
+  MessageWriter writer(request, session, now);
+  writer.Add(soa);
+  if (content.soa_only) return writer.Take();
   if (content.changes) {
     for (const Change* change : *content.changes) {
-      for (const Record& record : change->removed) parts.Add(record);
-      for (const Record& record : change->added) parts.Add(record);
+      for (const Record& record : change->removed) writer.Add(record);
+      for (const Record& record : change->added) writer.Add(record);
     }
   } else {
-    zone.EachRecord([&parts](const Record& record) { parts.Add(record); });
+    zone.EachRecord([&writer](const Record& record) { writer.Add(record); });
   }
-  parts.Add(soa);
-  return parts.Take();
+  writer.Add(soa);
+  return writer.Take();
 }
 
 }  // namespace
 
-std::optional<std::uint32_t> SerialAskedFrom(const Message& request) {
+std::optional<std::uint32_t> ClientSerial(const Message& request) {
   if (request.authority.size() != 1 || request.authority[0].type != type::kSoa) return std::nullopt;
   return SerialOf(request.authority[0].rdata);
 }
@@ -97,16 +97,17 @@
                                         std::uint64_t now) {
   const TransferContent content = ContentFor(zone, request);
   if (stream) return WriteTransfer(zone, request, content, session, now);
-  const std::size_t room = limit - std::min(limit, session != nullptr ? session->MostBytes() : 0);
+  const std::size_t room =
+      limit - std::min(limit, session != nullptr ? session->MaxTsigBytes() : 0);
   // The whole zone is not even tried in a datagram.
-  if (!content.soa_alone && content.changes) {
+  if (!content.soa_only && content.changes) {
     auto tried = WriteTransfer(zone, request, content, nullptr, now);
     if (tried.size() == 1 && tried[0].size() <= room) {
       if (session != nullptr) tried[0] = session->Sign(std::move(tried[0]), now);
       return tried;
     }
   }
-  return WriteTransfer(zone, request, {.soa_alone = true, .changes = {}}, session, now);
+  return WriteTransfer(zone, request, {.soa_only = true, .changes = {}}, session, now);
 }
 
 Message TransferRequest(const Name& zone, const std::optional<Record>& have, std::uint16_t id) {
@@ -124,7 +125,7 @@
       id_(id),
       session_(std::move(session)),
       max_records_(max_records),
-      whole_(zone_) {}
+      full_zone_(zone_) {}
 
 std::optional<TransferResult> TransferReader::Take(std::string_view bytes, std::uint64_t now) {
   Decoded decoded = Decode(bytes);
@@ -169,9 +170,9 @@
       state_ = State::kSecond;
       return std::nullopt;
     case State::kSecond:
-      return TakeSecond(std::move(record));
-    case State::kWhole:
-      return TakeOfWhole(record);
+      return TakeSecondRecord(std::move(record));
+    case State::kFullZone:
+      return TakeZoneRecord(record);
     case State::kRemoving:
       return TakeRemoved(std::move(record));
     case State::kAdding:
@@ -187,21 +188,21 @@
 }
 
 // The second record tells a transfer of changes from one of the whole zone (RFC 1995 §4).
-std::optional<ValidationError> TransferReader::TakeSecond(Record record) {
+std::optional<ValidationError> TransferReader::TakeSecondRecord(Record record) {
   if (record.type == type::kSoa && have_ && !IsNewestSoa(record)) {
     if (SerialOf(record.rdata) != *have_) return Bad("its changes begin at another serial");
     changes_.push_back({{std::move(record)}, {}});
     state_ = State::kRemoving;
     return std::nullopt;
   }
-  whole_.Add(soa_);
-  state_ = State::kWhole;
-  return TakeOfWhole(record);
+  full_zone_.Add(soa_);
+  state_ = State::kFullZone;
+  return TakeZoneRecord(record);
 }
 
-std::optional<ValidationError> TransferReader::TakeOfWhole(const Record& record) {
+std::optional<ValidationError> TransferReader::TakeZoneRecord(const Record& record) {
   if (record.type != type::kSoa) {
-    whole_.Add(record);
+    full_zone_.Add(record);
     return std::nullopt;
   }
   if (!IsNewestSoa(record)) return Bad("the zone changed during the transfer");
@@ -249,16 +250,16 @@
   if (state_ != State::kDone) return std::nullopt;
   if (session_ && !message.tsig) return Bad("its last message is not signed");
   if (!changes_.empty()) return Changes{std::move(changes_)};
-  if (have_ && !IsNewer(whole_.serial(), *have_)) {
-    return Bad("a whole zone of serial " + std::to_string(whole_.serial()) + ", not newer than " +
-               std::to_string(*have_));
+  if (have_ && !IsNewer(full_zone_.serial(), *have_)) {
+    return Bad("a whole zone of serial " + std::to_string(full_zone_.serial()) +
+               ", not newer than " + std::to_string(*have_));
   }
-  const auto faults = FindZoneErrors(whole_);
+  const auto faults = FindZoneErrors(full_zone_);
   if (!faults.empty()) return Bad("no whole zone: " + faults[0]);
-  return FullZone{std::move(whole_)};
+  return FullZone{std::move(full_zone_)};
 }
 
-TransferResult TransferReader::CutShort(std::string why) const {
+TransferResult TransferReader::Interrupted(std::string why) const {
   return Bad("cut short after " + std::to_string(records_) + " records: " + std::move(why));
 }
 
--- a/src/dns/transfer.hpp
+++ b/src/dns/transfer.hpp
@@ -18,7 +18,7 @@
 namespace brassfront::dns {
 
 // The asker's serial in an IXFR request (its SOA in the authority section); nothing if none.
-std::optional<std::uint32_t> SerialAskedFrom(const Message& request);
+std::optional<std::uint32_t> ClientSerial(const Message& request);
 
 // All messages of the answer, signed if a session is given. An IXFR from a serial that is not
 // remembered, and an AXFR, get the whole zone. `stream` is false for UDP, where what does not fit
@@ -39,7 +39,7 @@
 struct UpToDate {};
 struct ValidationError {
   std::string why;
-  bool by_changes = false;  // the primary cannot do IXFR: an AXFR may do
+  bool ixfr_unsupported = false;  // the primary cannot do IXFR: an AXFR may do
 };
 using TransferResult = std::variant<FullZone, Changes, UpToDate, ValidationError>;
 
@@ -52,15 +52,15 @@
   // Takes the answer's next message. Something once it is over, for good or bad.
   std::optional<TransferResult> Take(std::string_view bytes, std::uint64_t now);
   // The peer has ended, or nothing came in time.
-  [[nodiscard]] TransferResult CutShort(std::string why) const;
+  [[nodiscard]] TransferResult Interrupted(std::string why) const;
 
  private:
-  enum class State { kFirst, kSecond, kWhole, kRemoving, kAdding, kDone };
+  enum class State { kFirst, kSecond, kFullZone, kRemoving, kAdding, kDone };
 
   std::optional<ValidationError> TakeRecord(Record record);
   [[nodiscard]] bool IsNewestSoa(const Record& record) const;
-  std::optional<ValidationError> TakeSecond(Record record);
-  std::optional<ValidationError> TakeOfWhole(const Record& record);
+  std::optional<ValidationError> TakeSecondRecord(Record record);
+  std::optional<ValidationError> TakeZoneRecord(const Record& record);
   std::optional<ValidationError> TakeRemoved(Record record);
   std::optional<ValidationError> TakeAdded(Record record);
   std::optional<TransferResult> End(const Message& message);
@@ -75,7 +75,7 @@
   std::size_t records_ = 0;
   std::size_t messages_ = 0;
   Record soa_;  // the newest, which begins and ends it
-  Zone whole_;
+  Zone full_zone_;
   std::vector<Change> changes_;
 };
 
--- a/src/dns/tsig.cpp
+++ b/src/dns/tsig.cpp
@@ -67,7 +67,7 @@
   message[11] = static_cast<char>(count);
 }
 
-std::string Appended(std::string message, const Name& key, const Fields& fields) {
+std::string WithTsig(std::string message, const Name& key, const Fields& fields) {
   AddToCount(message, 1);
   message += key.wire();
   Put16(message, type::kTsig);
@@ -85,11 +85,11 @@
 }
 
 // What the MAC is over (RFC 8945 §4.3): a third and later message has the times alone (§5.3.1).
-std::string Signed(std::string_view prior, std::string_view message, const Name& key,
-                   const Fields& fields, bool times_alone) {
+std::string MacInput(std::string_view prior, std::string_view message, const Name& key,
+                     const Fields& fields, bool timers_only) {
   std::string out(prior);
   out += message;
-  if (!times_alone) {
+  if (!timers_only) {
     out += key.Lower().wire();
     Put16(out, klass::kAny);
     Put32(out, 0);
@@ -97,7 +97,7 @@
   }
   Put48(out, fields.time);
   Put16(out, fields.fudge);
-  if (!times_alone) {
+  if (!timers_only) {
     Put16(out, static_cast<std::uint32_t>(fields.error));
     Put16(out, static_cast<std::uint32_t>(fields.other.size()));
     out += fields.other;
@@ -129,18 +129,19 @@
   fields.original_id = static_cast<std::uint16_t>(Get16(message, 0));
   fields.error = error;
   fields.other = other;
-  fields.mac = Hmac(key_, Signed(prior_mac_ + between_, message, key_.name, fields, checked_ >= 2));
+  fields.mac = Hmac(
+      key_, MacInput(prior_mac_ + unsigned_messages_, message, key_.name, fields, checked_ >= 2));
   prior_mac_ = WithLength(fields.mac);
-  between_.clear();
+  unsigned_messages_.clear();
   ++checked_;
-  return Appended(std::move(message), key_.name, fields);
+  return WithTsig(std::move(message), key_.name, fields);
 }
 
 std::string TsigSession::Sign(std::string message, std::uint64_t now) {
   return Append(std::move(message), now, TsigError::kNone, {});
 }
 
-std::size_t TsigSession::MostBytes() const {
+std::size_t TsigSession::MaxTsigBytes() const {
   constexpr std::size_t kFixed = 10 + 16 + 6;  // the record's, RDATA's, and a time in it
   return key_.name.wire().size() + AlgorithmName(key_.algorithm).wire().size() + kFixed +
          signing::MacBytes(key_.algorithm);
@@ -157,7 +158,7 @@
   if (!message.tsig) {
     // The request and the first answer are signed (RFC 8945 §5.3.1).
     if (checked_ < 2 || ++unsigned_ > kMaxUnsigned) return TsigError::kBadSig;
-    PassUnsigned(bytes);
+    AddUnsigned(bytes);
     return TsigError::kNone;
   }
   const auto fields = FieldsOf(message.tsig->rdata);
@@ -173,11 +174,11 @@
   AddToCount(plain, -1);
   plain[0] = static_cast<char>(fields->original_id >> 8);
   plain[1] = static_cast<char>(fields->original_id);
-  const std::string mac =
-      Hmac(key_, Signed(prior_mac_ + between_, plain, key_.name, *fields, checked_ >= 2));
+  const std::string mac = Hmac(
+      key_, MacInput(prior_mac_ + unsigned_messages_, plain, key_.name, *fields, checked_ >= 2));
   if (!signing::IsSame(mac, fields->mac)) return TsigError::kBadSig;
   prior_mac_ = WithLength(mac);
-  between_.clear();
+  unsigned_messages_.clear();
   ++checked_;
   unsigned_ = 0;
   signed_at_ = fields->time;
@@ -208,7 +209,7 @@
   }
   fields.original_id = request.id;
   fields.error = error;
-  return Appended(std::move(message), request.tsig->name, fields);
+  return WithTsig(std::move(message), request.tsig->name, fields);
 }
 
 TsigError TsigErrorOf(const Message& message) {
--- a/src/dns/tsig.hpp
+++ b/src/dns/tsig.hpp
@@ -32,7 +32,7 @@
 
 // The signature of a request that changed something, and when it says it was made: known again, the
 // request does nothing a second time.
-struct Witness {
+struct UpdateSignature {
   std::string mac;
   std::uint64_t signed_at = 0;
 };
@@ -59,9 +59,9 @@
 
   // The message with a TSIG at its end. At most MostBytes() longer.
   std::string Sign(std::string message, std::uint64_t now);
-  [[nodiscard]] std::size_t MostBytes() const;
+  [[nodiscard]] std::size_t MaxTsigBytes() const;
   // A message inside an answer of many that is sent without a TSIG; the next one vouches for it.
-  void PassUnsigned(std::string_view message) { between_ += message; }
+  void AddUnsigned(std::string_view message) { unsigned_messages_ += message; }
   // An answer that tells of a request's wrong time is signed and says this side's time
   // (RFC 8945 §5.2.3).
   std::string SignBadTime(std::string message, std::uint64_t signed_at, std::uint64_t now);
@@ -79,9 +79,9 @@
                      std::string_view other);
 
   Key key_;
-  std::string prior_mac_;  // with its length before it; empty at the start
-  std::string between_;    // messages since then that were not signed
-  int checked_ = 0;        // messages signed or checked
+  std::string prior_mac_;          // with its length before it; empty at the start
+  std::string unsigned_messages_;  // messages since then that were not signed
+  int checked_ = 0;                // messages signed or checked
   int unsigned_ = 0;
   std::uint64_t signed_at_ = 0;
 };
--- a/src/dns/update.cpp
+++ b/src/dns/update.cpp
@@ -30,7 +30,7 @@
 }
 
 // A set must be there as a whole, no more and no less (RFC 2136 §3.2.5).
-UpdateOutcome CheckSet(const Zone& zone, const std::vector<Record>& expected) {
+UpdateOutcome CheckRrset(const Zone& zone, const std::vector<Record>& expected) {
   const Record& first = expected[0];
   const RecordSet* set = zone.Find(first.name, first.type);
   std::set<std::string> distinct;
@@ -65,7 +65,7 @@
     expected_sets[{record.name.Key(), record.type}].push_back(record);
   }
   for (const auto& [key, expected] : expected_sets) {
-    UpdateOutcome outcome = CheckSet(zone, expected);
+    UpdateOutcome outcome = CheckRrset(zone, expected);
     if (outcome.rcode != Rcode::kNoError) return outcome;
   }
   return {};
--- a/src/dns/zone.cpp
+++ b/src/dns/zone.cpp
@@ -20,12 +20,12 @@
   return CanonicalRdata(type, a) < CanonicalRdata(type, b);
 }
 
-struct Place {
+struct RdataPosition {
   std::vector<std::string>::const_iterator at;
-  bool held = false;  // what is there is the same record
+  bool found = false;  // what is there is the same record
 };
 
-Place FindRdata(const RecordSet& set, std::uint16_t type, std::string_view rdata) {
+RdataPosition FindRdata(const RecordSet& set, std::uint16_t type, std::string_view rdata) {
   const auto before = [type](std::string_view a, std::string_view b) {
     return ComesBefore(type, a, b);
   };
@@ -75,7 +75,7 @@
 
 bool Zone::Holds(const Record& record) const {
   const RecordSet* set = Find(record.name, record.type);
-  return set != nullptr && FindRdata(*set, record.type, record.rdata).held;
+  return set != nullptr && FindRdata(*set, record.type, record.rdata).found;
 }
 
 bool Zone::Exists(const Name& name) const {
@@ -90,9 +90,9 @@
   if (node == nodes_.end()) node = nodes_.emplace(std::move(key), Node{record.name, {}}).first;
   RecordSet& set = node->second.sets[record.type];
   const bool same_ttl = std::exchange(set.ttl, record.ttl) == record.ttl;
-  const Place place = FindRdata(set, record.type, record.rdata);
-  if (place.held) return !same_ttl;
-  set.rdatas.insert(place.at, record.rdata);
+  const RdataPosition position = FindRdata(set, record.type, record.rdata);
+  if (position.found) return !same_ttl;
+  set.rdatas.insert(position.at, record.rdata);
   ++records_;
   return true;
 }
@@ -102,9 +102,9 @@
   if (node == nodes_.end()) return false;
   const auto set = node->second.sets.find(record.type);
   if (set == node->second.sets.end()) return false;
-  const Place place = FindRdata(set->second, record.type, record.rdata);
-  if (!place.held) return false;
-  set->second.rdatas.erase(place.at);
+  const RdataPosition position = FindRdata(set->second, record.type, record.rdata);
+  if (!position.found) return false;
+  set->second.rdatas.erase(position.at);
   --records_;
   if (set->second.rdatas.empty()) node->second.sets.erase(set);
   if (node->second.sets.empty()) nodes_.erase(node);
@@ -128,7 +128,7 @@
   return records;
 }
 
-const Node* Zone::CutAbove(const Name& name) const {
+const Node* Zone::DelegationAbove(const Name& name) const {
   const Node* cut = nullptr;
   for (Name at = name; !(at == origin_) && !at.IsRoot(); at = at.Parent()) {
     const Node* node = Find(at);
@@ -181,7 +181,7 @@
   Name at = name;
   for (int hop = 0; hop <= kMaxCnames; ++hop) {
     if (!at.IsAtOrBelow(origin_)) break;  // a CNAME led out: the asker goes on elsewhere
-    if (const Node* cut = CutAbove(at)) {
+    if (const Node* cut = DelegationAbove(at)) {
       lookup.authoritative = !lookup.answer.empty();
       AddSet(cut->name, *cut, type::kNs, lookup.authority);
       AddAddresses(lookup.authority, lookup.additional);
@@ -202,8 +202,8 @@
       continue;
     }
     const std::size_t before = lookup.answer.size();
-    for (const auto& [held, set] : node->sets) {
-      if (type == held || type == type::kAny) AddSet(at, *node, held, lookup.answer);
+    for (const auto& [found, set] : node->sets) {
+      if (type == found || type == type::kAny) AddSet(at, *node, found, lookup.answer);
     }
     if (lookup.answer.size() == before) AddNegative(lookup);
     break;
@@ -212,7 +212,7 @@
   return lookup;
 }
 
-bool Zone::Fits(const Change& change) const {
+bool Zone::CanApply(const Change& change) const {
   return !change.removed.empty() && !change.added.empty() && change.removed[0].type == type::kSoa &&
          change.added[0].type == type::kSoa && change.from() == serial() &&
          std::all_of(change.removed.begin(), change.removed.end(),
@@ -220,12 +220,12 @@
 }
 
 bool Zone::Apply(const Change& change) {
-  if (!Fits(change)) return false;
-  ApplyFitting(change);
+  if (!CanApply(change)) return false;
+  ApplyUnchecked(change);
   return true;
 }
 
-void Zone::ApplyFitting(const Change& change) {
+void Zone::ApplyUnchecked(const Change& change) {
   for (const Record& record : change.removed) Remove(record);
   for (const Record& record : change.added) Add(record);
   changes_.push_back(change);
@@ -240,7 +240,7 @@
   }
 }
 
-std::optional<std::vector<const Change*>> Zone::Since(std::uint32_t wanted) const {
+std::optional<std::vector<const Change*>> Zone::ChangesSince(std::uint32_t wanted) const {
   std::vector<const Change*> changes;
   if (wanted == serial()) return changes;
   for (const Change& change : changes_) {
--- a/src/dns/zone.hpp
+++ b/src/dns/zone.hpp
@@ -81,22 +81,22 @@
   [[nodiscard]] Lookup Query(const Name& name, std::uint16_t type) const;
 
   // False if the change does not start at the zone's serial, or removes what is not there.
-  [[nodiscard]] bool Fits(const Change& change) const;
+  [[nodiscard]] bool CanApply(const Change& change) const;
   // Applies a change that fits, whole, and remembers it. False, and nothing done, if it does not.
   bool Apply(const Change& change);
   // The same where Fits was asked already.
-  void ApplyFitting(const Change& change);
+  void ApplyUnchecked(const Change& change);
   // Remembered changes from that serial to the newest, in order. Nothing if it is not known.
-  [[nodiscard]] std::optional<std::vector<const Change*>> Since(std::uint32_t serial) const;
-  void Forget() { changes_.clear(), change_records_ = 0; }
+  [[nodiscard]] std::optional<std::vector<const Change*>> ChangesSince(std::uint32_t serial) const;
+  void ForgetChanges() { changes_.clear(), change_records_ = 0; }
   // Changes are remembered up to this many records altogether.
-  void RememberAtMost(std::size_t records) { max_change_records_ = records; }
+  void LimitChangeRecords(std::size_t records) { max_change_records_ = records; }
 
  private:
   using Nodes = std::map<std::string, Node>;
 
   // Delegations above or at the name, but not the zone's own NS.
-  [[nodiscard]] const Node* CutAbove(const Name& name) const;
+  [[nodiscard]] const Node* DelegationAbove(const Name& name) const;
   [[nodiscard]] const Node* WildcardFor(const Name& name) const;
   void AddSet(const Name& as, const Node& node, std::uint16_t type,
               std::vector<Record>& into) const;
--- a/src/dns/zone_file.cpp
+++ b/src/dns/zone_file.cpp
@@ -12,8 +12,8 @@
 
 namespace peg = tao::pegtl;
 
-constexpr std::size_t kMaxIncludes = 16;            // one inside the other
-constexpr std::uint64_t kMaxGenerated = 1'000'000;  // by one $GENERATE
+constexpr std::size_t kMaxIncludeDepth = 16;               // one inside the other
+constexpr std::uint64_t kMaxGeneratedRecords = 1'000'000;  // by one $GENERATE
 
 // ======== the grammar: lines of tokens ========
 
@@ -174,7 +174,7 @@
 }
 
 // The pattern with `$` and `${offset,width,base}` replaced by the number; `\$` stays a dollar.
-std::optional<std::string> Generated(std::string_view pattern, std::uint32_t number) {
+std::optional<std::string> ExpandGenerate(std::string_view pattern, std::uint32_t number) {
   std::string out;
   for (std::size_t at = 0; at < pattern.size(); ++at) {
     if (pattern[at] == '\\' && at + 1 < pattern.size()) {
@@ -205,9 +205,13 @@
 
 class Reader {
  public:
-  Reader(const Name& zone, const Including& including, const std::function<void(Record)>& take,
-         std::vector<ZoneFileError>& faults)
-      : zone_(zone), origin_(zone), including_(including), take_(take), faults_(faults) {}
+  Reader(const Name& zone, const IncludeResolver& resolve_include,
+         const std::function<void(Record)>& take, std::vector<ZoneFileError>& faults)
+      : zone_(zone),
+        origin_(zone),
+        resolve_include_(resolve_include),
+        take_(take),
+        faults_(faults) {}
 
   void Read(const ZoneText& text) {
     const ZoneText* outer = std::exchange(text_, &text);
@@ -230,7 +234,7 @@
     if (ended.tokens.empty()) return;
     const Token& first = ended.tokens[0];
     if (!ended.indented && !first.quoted && first.text.starts_with('$')) {
-      Direct(ended.tokens);
+      HandleDirective(ended.tokens);
     } else {
       const std::span<const Token> tokens(ended.tokens);
       TakeEntry(ended.indented ? std::nullopt : std::optional(first.text),
@@ -247,7 +251,7 @@
   }
   void AddFault(const Token& at, std::string why) { AddFault(at.line, at.column, std::move(why)); }
 
-  void Direct(const std::vector<Token>& tokens) {
+  void HandleDirective(const std::vector<Token>& tokens) {
     const std::string& directive = tokens[0].text;
     const auto arguments = tokens.size() - 1;
     std::string why;
@@ -278,7 +282,7 @@
   void Include(const std::vector<Token>& tokens) {
     std::string why;
     const auto named = Unescape(tokens[1].text);
-    const auto text = named ? including_(*text_, *named, why) : std::nullopt;
+    const auto text = named ? resolve_include_(*text_, *named, why) : std::nullopt;
     if (!text) {
       AddFault(tokens[1], named ? why : "an escape in the file's name is not \\DDD");
       return;
@@ -287,7 +291,7 @@
       AddFault(tokens[1], text->file + " includes itself");
       return;
     }
-    if (files_.size() >= kMaxIncludes) {
+    if (files_.size() >= kMaxIncludeDepth) {
       AddFault(tokens[1], "more than 16 files, one inside the other");
       return;
     }
@@ -313,7 +317,7 @@
       return;
     }
     const std::uint64_t steps = (std::uint64_t{range->to} - range->from) / range->step + 1;
-    if (steps > kMaxGenerated) {
+    if (steps > kMaxGeneratedRecords) {
       AddFault(tokens[1], "more than a million records from one $GENERATE");
       return;
     }
@@ -322,7 +326,7 @@
       const auto number = static_cast<std::uint32_t>(range->from + n * range->step);
       std::vector<Token> made(tokens.begin() + 2, tokens.end());
       for (Token& token : made) {
-        const auto text = Generated(token.text, number);
+        const auto text = ExpandGenerate(token.text, number);
         if (!text) {
           AddFault(token, "expected $ or ${offset,width,base}");
           return;
@@ -418,7 +422,7 @@
 
   const Name zone_;
   Name origin_;
-  const Including& including_;
+  const IncludeResolver& resolve_include_;
   const std::function<void(Record)>& take_;
   std::vector<ZoneFileError>& faults_;
   const ZoneText* text_ = nullptr;
@@ -440,7 +444,7 @@
   static void apply0(Reader& reader) { reader.EndEntry(); }
 };
 
-std::string Joined(const std::vector<ZoneFileError>& faults) {
+std::string JoinErrors(const std::vector<ZoneFileError>& faults) {
   std::string out;
   for (const ZoneFileError& fault : faults) out += (out.empty() ? "" : "\n") + fault.ToText();
   return out;
@@ -454,19 +458,19 @@
 }
 
 InvalidZone::InvalidZone(std::vector<ZoneFileError> faults)
-    : std::runtime_error(Joined(faults)), faults_(std::move(faults)) {}
+    : std::runtime_error(JoinErrors(faults)), faults_(std::move(faults)) {}
 
-void ReadRecords(const ZoneText& text, const Name& origin, const Including& including,
+void ReadRecords(const ZoneText& text, const Name& origin, const IncludeResolver& resolve_include,
                  const std::function<void(Record)>& take) {
   std::vector<ZoneFileError> faults;
-  Reader reader(origin, including, take, faults);
+  Reader reader(origin, resolve_include, take, faults);
   reader.Read(text);
   if (!faults.empty()) throw InvalidZone(std::move(faults));
 }
 
-Zone ReadZone(const ZoneText& text, const Name& origin, const Including& including) {
+Zone ReadZone(const ZoneText& text, const Name& origin, const IncludeResolver& resolve_include) {
   Zone zone(origin);
-  ReadRecords(text, origin, including, [&zone](Record record) {
+  ReadRecords(text, origin, resolve_include, [&zone](Record record) {
     // A set has one TTL: the smallest of those given (RFC 2181 §5.2).
     if (const RecordSet* set = zone.Find(record.name, record.type)) {
       record.ttl = std::min(record.ttl, set->ttl);
--- a/src/dns/zone_file.hpp
+++ b/src/dns/zone_file.hpp
@@ -23,7 +23,7 @@
 };
 
 // The file that an $INCLUDE in `from` names; nothing, and why, if there is none or it may not be.
-using Including = std::function<std::optional<ZoneText>(
+using IncludeResolver = std::function<std::optional<ZoneText>(
     const ZoneText& from, const std::string& named, std::string& why)>;
 
 struct ZoneFileError {
@@ -47,11 +47,11 @@
 };
 
 // Hands on each record as it is read. Throws InvalidZone, after what came before it was handed on.
-void ReadRecords(const ZoneText& text, const Name& origin, const Including& including,
+void ReadRecords(const ZoneText& text, const Name& origin, const IncludeResolver& resolve_include,
                  const std::function<void(Record)>& take);
 
 // A whole zone, held against FindZoneErrors. Throws InvalidZone.
-Zone ReadZone(const ZoneText& text, const Name& origin, const Including& including);
+Zone ReadZone(const ZoneText& text, const Name& origin, const IncludeResolver& resolve_include);
 
 // The zone as a file that reads back the same: SOA first, then in canonical order.
 void WriteZone(const Zone& zone, const std::function<void(std::string_view)>& write);
--- a/src/dns/zone_transfer_session.cpp
+++ b/src/dns/zone_transfer_session.cpp
@@ -19,15 +19,15 @@
   return timers;
 }
 
-void ZoneTransferSession::Start(std::uint32_t serial, const SoaTimers& timers, double age,
-                                double now) {
+void ZoneTransferSession::Restore(std::uint32_t serial, const SoaTimers& timers, double age,
+                                  double now) {
   serial_ = serial;
   timers_ = timers;
   confirmed_ = now - std::max(age, 0.0);
   due_ = now;
 }
 
-ZoneTransferSession::Step ZoneTransferSession::Due(double now) {
+ZoneTransferSession::Step ZoneTransferSession::NextStep(double now) {
   if (has_zone() && !expired_ && now >= confirmed_ + timers_.expire) {
     expired_ = true;
     return Step::kExpire;
@@ -37,14 +37,14 @@
     return Step::kTransfer;
   }
   if (phase_ != Phase::kWaiting || now < due_) return Step::kNothing;
-  asked_ = now;
+  last_query_ = now;
   notified_ = false;
   // Without a zone there is no serial to compare: the transfer comes at once.
-  phase_ = has_zone() ? Phase::kAsking : Phase::kTransferring;
-  return has_zone() ? Step::kAskSerial : Step::kTransfer;
+  phase_ = has_zone() ? Phase::kQueryingSerial : Phase::kTransferring;
+  return has_zone() ? Step::kQuerySerial : Step::kTransfer;
 }
 
-double ZoneTransferSession::NextDue() const {
+double ZoneTransferSession::NextStepTime() const {
   const double expiry = has_zone() && !expired_ ? confirmed_ + timers_.expire : 1e18;
   switch (phase_) {
     case Phase::kWaiting:
@@ -56,44 +56,44 @@
   }
 }
 
-void ZoneTransferSession::Notified(std::optional<std::uint32_t> serial, double now) {
+void ZoneTransferSession::OnNotify(std::optional<std::uint32_t> serial, double now) {
   // A serial that is held already needs no question; what a notice claims is believed no further.
   if (serial && serial_ && !expired_ && !IsNewer(*serial, *serial_)) return;
   if (phase_ == Phase::kWaiting) {
-    due_ = std::min(due_, std::max(now, asked_ + kBetweenQuestions));
+    due_ = std::min(due_, std::max(now, last_query_ + kMinQueryInterval));
   } else {
     notified_ = true;
   }
 }
 
-void ZoneTransferSession::SerialIs(std::uint32_t serial, double now) {
-  if (phase_ != Phase::kAsking) return;
+void ZoneTransferSession::OnSerial(std::uint32_t serial, double now) {
+  if (phase_ != Phase::kQueryingSerial) return;
   if (IsNewer(serial, *serial_)) {
     phase_ = Phase::kMustTransfer;
   } else if (serial == *serial_) {
-    IsUpToDate(now);
+    OnUpToDate(now);
   } else {
-    Failed(now);  // it has gone back: whatever it holds is not what it should
+    OnFailure(now);  // it has gone back: whatever it holds is not what it should
   }
 }
 
-void ZoneTransferSession::Took(std::uint32_t serial, const SoaTimers& timers, double now) {
+void ZoneTransferSession::OnTransferred(std::uint32_t serial, const SoaTimers& timers, double now) {
   serial_ = serial;
   timers_ = timers;
-  IsUpToDate(now);
+  OnUpToDate(now);
 }
 
-void ZoneTransferSession::IsUpToDate(double now) {
+void ZoneTransferSession::OnUpToDate(double now) {
   confirmed_ = now;
   expired_ = false;
   Wait(timers_.refresh, now);
 }
 
-void ZoneTransferSession::Failed(double now) { Wait(timers_.retry, now); }
+void ZoneTransferSession::OnFailure(double now) { Wait(timers_.retry, now); }
 
 void ZoneTransferSession::Wait(double seconds, double now) {
   phase_ = Phase::kWaiting;
-  due_ = notified_ ? std::max(now, asked_ + kBetweenQuestions) : now + seconds;
+  due_ = notified_ ? std::max(now, last_query_ + kMinQueryInterval) : now + seconds;
 }
 
 }  // namespace brassfront::dns
--- a/src/dns/zone_transfer_session.hpp
+++ b/src/dns/zone_transfer_session.hpp
@@ -23,37 +23,37 @@
   static constexpr double kMinWait = 1, kMaxWait = 86400;
   static constexpr double kFirstRetry = 1;  // as long as no SOA says otherwise
   // Notices are answered by one question at a time, and not by more than five a second.
-  static constexpr double kBetweenQuestions = 0.2;
+  static constexpr double kMinQueryInterval = 0.2;
 
   enum class Step {
     kNothing,
-    kAskSerial,  // ask for the SOA
-    kTransfer,   // ask for what is newer
-    kExpire,     // what is held counts no more
+    kQuerySerial,  // ask for the SOA
+    kTransfer,     // ask for what is newer
+    kExpire,       // what is held counts no more
   };
 
-  explicit ZoneTransferSession(double now) : due_(now), asked_(now - kBetweenQuestions) {}
+  explicit ZoneTransferSession(double now) : due_(now), last_query_(now - kMinQueryInterval) {}
 
   // What was kept from earlier: its serial, and how long ago it was confirmed.
-  void Start(std::uint32_t serial, const SoaTimers& timers, double age, double now);
+  void Restore(std::uint32_t serial, const SoaTimers& timers, double age, double now);
 
   // What to do now. After kAskSerial and kTransfer one of the answers below must come.
-  Step Due(double now);
-  [[nodiscard]] double NextDue() const;
+  Step NextStep(double now);
+  [[nodiscard]] double NextStepTime() const;
 
   // A notice of a change, with the serial it names if it does (RFC 1996 §3.7).
-  void Notified(std::optional<std::uint32_t> serial, double now);
-  void SerialIs(std::uint32_t serial, double now);  // the SOA's answer
-  void Took(std::uint32_t serial, const SoaTimers& timers, double now);
-  void IsUpToDate(double now);
-  void Failed(double now);  // no answer, a refusal or a transfer that came to nothing
+  void OnNotify(std::optional<std::uint32_t> serial, double now);
+  void OnSerial(std::uint32_t serial, double now);  // the SOA's answer
+  void OnTransferred(std::uint32_t serial, const SoaTimers& timers, double now);
+  void OnUpToDate(double now);
+  void OnFailure(double now);  // no answer, a refusal or a transfer that came to nothing
 
   [[nodiscard]] bool has_zone() const { return serial_.has_value(); }
   [[nodiscard]] std::uint32_t serial() const { return serial_.value_or(0); }
   [[nodiscard]] bool expired() const { return expired_; }
 
  private:
-  enum class Phase { kWaiting, kAsking, kMustTransfer, kTransferring };
+  enum class Phase { kWaiting, kQueryingSerial, kMustTransfer, kTransferring };
 
   // Until it is time to ask again: at once, if a notice came meanwhile.
   void Wait(double seconds, double now);
@@ -62,7 +62,7 @@
   std::optional<std::uint32_t> serial_;
   SoaTimers timers_{kMinWait, kFirstRetry, kMaxWait};
   double due_;
-  double asked_;  // last
+  double last_query_;  // last
   double confirmed_ = 0;
   bool notified_ = false;  // since the question that is out
   bool expired_ = false;
--- a/src/nameserver/client.cpp
+++ b/src/nameserver/client.cpp
@@ -17,17 +17,17 @@
 using dns::TsigError;
 
 // The message's bytes, signed with a new session if there is a key.
-std::string Sealed(const RequestOptions& how, const Message& message,
-                   std::optional<dns::TsigSession>& session) {
+std::string EncodeSigned(const RequestOptions& options, const Message& message,
+                         std::optional<dns::TsigSession>& session) {
   std::string bytes = Encode(message);
-  if (!how.key) return bytes;
-  return session.emplace(*how.key).Sign(std::move(bytes), SecondsNow());
+  if (!options.key) return bytes;
+  return session.emplace(*options.key).Sign(std::move(bytes), SecondsNow());
 }
 
 // Why it is no answer to that message; empty if it is one. The session is spent by a good one
 // alone.
-std::string ValidationError(const Message& asked, std::string_view bytes,
-                            const dns::Decoded& decoded, std::optional<dns::TsigSession>& session) {
+std::string ValidateAnswer(const Message& asked, std::string_view bytes,
+                           const dns::Decoded& decoded, std::optional<dns::TsigSession>& session) {
   if (!decoded.message) return "an answer that cannot be read: " + decoded.why;
   const Message& answer = *decoded.message;
   if (!answer.response || answer.id != asked.id || answer.opcode != asked.opcode) {
@@ -51,15 +51,15 @@
   return {};
 }
 
-RequestResult ByDatagram(const RequestOptions& how, const Message& message) {
+RequestResult ByDatagram(const RequestOptions& options, const Message& message) {
   RequestResult asked{{}, "no answer"};
-  Socket socket = ConnectDatagrams(how.server);
-  if (!socket.is_open()) return {{}, "no way to " + how.server + ": " + std::strerror(errno)};
+  Socket socket = ConnectDatagrams(options.server);
+  if (!socket.is_open()) return {{}, "no way to " + options.server + ": " + std::strerror(errno)};
   std::vector<char> buffer(dns::kMaxMessageBytes);
-  for (int attempt = 0; attempt < how.tries; ++attempt) {
+  for (int attempt = 0; attempt < options.tries; ++attempt) {
     std::optional<dns::TsigSession> session;
-    const std::string bytes = Sealed(how, message, session);
-    const auto until = std::chrono::steady_clock::now() + how.timeout;
+    const std::string bytes = EncodeSigned(options, message, session);
+    const auto until = std::chrono::steady_clock::now() + options.timeout;
     if (send(socket.fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0) {
       asked.why = std::strerror(errno);
     }
@@ -73,7 +73,7 @@
       }
       const std::string_view got(buffer.data(), static_cast<std::size_t>(length));
       dns::Decoded decoded = dns::Decode(got);
-      asked.why = ValidationError(message, got, decoded, session);
+      asked.why = ValidateAnswer(message, got, decoded, session);
       // What is no answer may be another's try to pass for one: the real one is waited for.
       if (asked.why.empty()) return {std::move(decoded.message), {}};
     }
@@ -83,13 +83,14 @@
 
 // Calls `take` with each message of the answer until it returns true; why not, otherwise.
 template <typename Take>
-std::string ByStream(const RequestOptions& how, const std::string& bytes, Take take) {
-  const auto until = std::chrono::steady_clock::now() + how.timeout * how.tries;
+std::string ByStream(const RequestOptions& options, const std::string& bytes, Take take) {
+  const auto until = std::chrono::steady_clock::now() + options.timeout * options.tries;
   Socket socket = NewSocket();
-  if (!Connect(socket, how.server, how.timeout)) {
-    return "no connection to " + how.server + ": " + std::strerror(errno);
+  if (!Connect(socket, options.server, options.timeout)) {
+    return "no connection to " + options.server + ": " + std::strerror(errno);
   }
-  if (!socket.SendAll(dns::InStream(bytes), until)) return "the connection ended while asking";
+  if (!socket.SendAll(dns::WithLengthPrefix(bytes), until))
+    return "the connection ended while asking";
   dns::StreamReader reader;
   std::vector<char> buffer(kReadBytes);
   auto last = until;
@@ -101,7 +102,7 @@
     for (; !reader.messages().empty(); reader.messages().pop_front()) {
       if (take(reader.messages().front())) return {};
     }
-    last = std::chrono::steady_clock::now() + how.timeout * how.tries;
+    last = std::chrono::steady_clock::now() + options.timeout * options.tries;
   }
   return "no answer in time";
 }
@@ -125,18 +126,18 @@
   return id;
 }
 
-RequestResult SendRequest(const RequestOptions& how, Message message) {
+RequestResult SendRequest(const RequestOptions& options, Message message) {
   message.id = RandomId();
-  if (!how.stream && message.opcode != dns::Opcode::kUpdate) {
-    RequestResult asked = ByDatagram(how, message);
+  if (!options.stream && message.opcode != dns::Opcode::kUpdate) {
+    RequestResult asked = ByDatagram(options, message);
     if (!asked.answer || !asked.answer->truncated) return asked;
   }
   std::optional<dns::TsigSession> session;
-  const std::string bytes = Sealed(how, message, session);
+  const std::string bytes = EncodeSigned(options, message, session);
   RequestResult asked;
-  std::string why = ByStream(how, bytes, [&](std::string_view got) {
+  std::string why = ByStream(options, bytes, [&](std::string_view got) {
     dns::Decoded decoded = dns::Decode(got);
-    asked.why = ValidationError(message, got, decoded, session);
+    asked.why = ValidateAnswer(message, got, decoded, session);
     if (asked.why.empty()) asked.answer = std::move(decoded.message);
     return true;
   });
@@ -144,20 +145,20 @@
   return asked;
 }
 
-dns::TransferResult Transfer(const RequestOptions& how, const dns::Name& zone,
+dns::TransferResult Transfer(const RequestOptions& options, const dns::Name& zone,
                              const std::optional<dns::Record>& have) {
   const Message request = TransferRequest(zone, have, RandomId());
   std::optional<dns::TsigSession> session;
-  const std::string bytes = Sealed(how, request, session);
+  const std::string bytes = EncodeSigned(options, request, session);
   dns::TransferReader reader(zone, have, request.id, std::move(session));
   std::optional<dns::TransferResult> done;
-  std::string why = ByStream(how, bytes, [&](std::string_view got) {
+  std::string why = ByStream(options, bytes, [&](std::string_view got) {
     done = reader.Take(got, SecondsNow());
     return done.has_value();
   });
-  if (!done) return reader.CutShort(std::move(why));
+  if (!done) return reader.Interrupted(std::move(why));
   const auto* unfit = std::get_if<dns::ValidationError>(&*done);
-  if (unfit != nullptr && unfit->by_changes) return Transfer(how, zone, std::nullopt);
+  if (unfit != nullptr && unfit->ixfr_unsupported) return Transfer(options, zone, std::nullopt);
   return *std::move(done);
 }
 
--- a/src/nameserver/client.hpp
+++ b/src/nameserver/client.hpp
@@ -34,10 +34,10 @@
 
 // The answer to the message, whose ID is set here; it is checked against the question and, with a
 // key, its signature. An update is tried once only, by TCP: who sends it again may do so twice.
-RequestResult SendRequest(const RequestOptions& how, dns::Message message);
+RequestResult SendRequest(const RequestOptions& options, dns::Message message);
 
 // IXFR where `have` is given, and AXFR if the primary cannot do that.
-dns::TransferResult Transfer(const RequestOptions& how, const dns::Name& zone,
+dns::TransferResult Transfer(const RequestOptions& options, const dns::Name& zone,
                              const std::optional<dns::Record>& have);
 
 }  // namespace brassfront::nameserver
--- a/src/nameserver/host.cpp
+++ b/src/nameserver/host.cpp
@@ -18,13 +18,13 @@
 
 // Files are looked at this often. One that changed is read when it was the same at two looks:
 // guards against half of what an editor is still writing.
-constexpr std::chrono::milliseconds kLook{200};
+constexpr std::chrono::milliseconds kFilePollInterval{200};
 
-Faults FaultsAt(const std::vector<FaultAct>& acts, double seconds) {
+Faults FaultsAt(const std::vector<ScheduledFault>& schedule, double seconds) {
   Faults all;
-  for (const FaultAct& act : acts) {
-    if (seconds < act.at || seconds >= act.at + act.length) continue;
-    const Faults& one = act.faults;
+  for (const ScheduledFault& scheduled : schedule) {
+    if (seconds < scheduled.at || seconds >= scheduled.at + scheduled.length) continue;
+    const Faults& one = scheduled.faults;
     all.quiet = all.quiet || one.quiet;
     all.delay = std::max(all.delay, one.delay);
     all.refuse = all.refuse || one.refuse;
@@ -38,7 +38,7 @@
 }
 
 // The file's time says when the copy in the folder was last known to be the primary's.
-void NoteConfirmed(const std::string& folder) {
+void RecordConfirmation(const std::string& folder) {
   if (!folder.empty()) File::OpenEmpty(folder + "/confirmed");
 }
 
@@ -58,12 +58,12 @@
     if (watcher_.changed) watcher_.changed(zone, &change);
   });
   server_->OnNotices([this](const dns::Name& zone, std::optional<std::uint32_t> serial) {
-    for (Hosted& hosted : hosted_) {
-      if (hosted.following && hosted.settings.name == zone) hosted.following->Notified(serial);
+    for (HostedZone& hosted : hosted_) {
+      if (hosted.following && hosted.settings.name == zone) hosted.following->OnNotify(serial);
     }
   });
   const std::lock_guard lock(zones_mutex_);
-  for (Hosted& hosted : hosted_) {
+  for (HostedZone& hosted : hosted_) {
     if (!hosted.followed) continue;
     RequestOptions ask;
     ask.server = hosted.settings.primary;
@@ -71,18 +71,18 @@
     ZoneWatcher with_notices = watcher_;
     const std::string& folder = hosted.settings.folder;
     with_notices.changed = [this, &folder](const dns::Zone& zone, const dns::Change* change) {
-      NoteConfirmed(folder);
+      RecordConfirmation(folder);
       if (watcher_.changed) watcher_.changed(zone, change);
       server_->Announce(zone.origin());
     };
     with_notices.confirmed = [this, &folder](const dns::Zone& zone) {
-      NoteConfirmed(folder);
+      RecordConfirmation(folder);
       if (watcher_.confirmed) watcher_.confirmed(zone);
     };
     hosted.following = std::make_unique<SecondaryZone>(
-        *hosted.followed, zones_mutex_, std::move(ask), hosted.kept_age, std::move(with_notices));
+        *hosted.followed, zones_mutex_, std::move(ask), hosted.copy_age, std::move(with_notices));
   }
-  thread_ = Thread::Require("dns-files", [this] { Work(); });
+  thread_ = Thread::Require("dns-files", [this] { Run(); });
 }
 
 Host::~Host() {
@@ -94,26 +94,27 @@
   thread_.Join();
   // NotificationClient end before those who take them.
   server_->OnNotices(nullptr);
-  for (Hosted& hosted : hosted_) hosted.following.reset();
+  for (HostedZone& hosted : hosted_) hosted.following.reset();
   server_.reset();
 }
 
-void Host::Open(Hosted& hosted) {
+void Host::Open(HostedZone& hosted) {
   const ZoneSettings& zone = hosted.settings;
   if (!zone.primary.empty()) {
     hosted.followed = std::make_unique<FollowedZone>(zone.name, zone.folder);
     hosted.manager = hosted.followed.get();
     struct stat state {};
     if (!zone.folder.empty() && stat((zone.folder + "/confirmed").c_str(), &state) == 0) {
-      hosted.kept_age = std::max<double>(0, static_cast<double>(time(nullptr) - state.st_mtime));
+      hosted.copy_age = std::max<double>(0, static_cast<double>(time(nullptr) - state.st_mtime));
     }
   } else if (!zone.folder.empty()) {
     hosted.stored =
         std::make_unique<StoredZone>(zone.folder, zone.name, zones::ZoneStore::Options{});
     hosted.manager = hosted.stored.get();
-    if (hosted.stored->store().cut_bytes() > 0) {
-      observe::Log(Concern::kZones, Level::kWarning, "zone journal ended in half an entry",
-                   {{"zone", zone.name.ToText()}, {"bytes", hosted.stored->store().cut_bytes()}});
+    if (hosted.stored->store().truncated_bytes() > 0) {
+      observe::Log(
+          Concern::kZones, Level::kWarning, "zone journal ended in half an entry",
+          {{"zone", zone.name.ToText()}, {"bytes", hosted.stored->store().truncated_bytes()}});
     }
   } else {
     hosted.from_file = std::make_unique<FileZone>(dns::Zone(zone.name));
@@ -121,13 +122,13 @@
   }
   responder_.AddZone(hosted.manager);
   if (!zone.file.empty()) {
-    hosted.read = hosted.seen = zones::StampOf(zone.file);
-    TakeFile(hosted);
+    hosted.loaded_stamp = hosted.seen_stamp = zones::StampOf(zone.file);
+    LoadFile(hosted);
   }
   if (hosted.manager->zone().has_soa() && watcher_.loaded) watcher_.loaded(hosted.manager->zone());
 }
 
-std::string Host::TakeZone(Hosted& hosted, const dns::Zone& zone) {
+std::string Host::ApplyFileZone(HostedZone& hosted, const dns::Zone& zone) {
   const dns::Zone& held = hosted.manager->zone();
   if (held.has_soa()) {
     const dns::Change change = dns::Difference(held, zone);
@@ -157,7 +158,7 @@
   return "";
 }
 
-void Host::TakeFile(Hosted& hosted) {
+void Host::LoadFile(HostedZone& hosted) {
   const std::string& file = hosted.settings.file;
   std::string why;
   std::optional<dns::Zone> zone;
@@ -167,7 +168,7 @@
     why = bad.what();
   }
   const std::lock_guard lock(zones_mutex_);
-  if (zone) why = TakeZone(hosted, *zone);
+  if (zone) why = ApplyFileZone(hosted, *zone);
   const dns::Zone& held = hosted.manager->zone();
   hosted.good = why.empty();
   if (hosted.good) {
@@ -180,14 +181,14 @@
   if (watcher_.failed) watcher_.failed(held, why);
 }
 
-void Host::LookAtFiles() {
-  for (Hosted& hosted : hosted_) {
+void Host::CheckFiles() {
+  for (HostedZone& hosted : hosted_) {
     if (hosted.settings.file.empty()) continue;
     const auto now = zones::StampOf(hosted.settings.file);
-    if (std::exchange(hosted.seen, now) != now) continue;  // it is still being written
-    if (hosted.read != now) {
-      hosted.read = now;
-      TakeFile(hosted);
+    if (std::exchange(hosted.seen_stamp, now) != now) continue;  // it is still being written
+    if (hosted.loaded_stamp != now) {
+      hosted.loaded_stamp = now;
+      LoadFile(hosted);
     } else if (now && hosted.good && watcher_.confirmed) {
       // A file that is there and the same says again what it said.
       const std::lock_guard lock(zones_mutex_);
@@ -196,18 +197,18 @@
   }
 }
 
-void Host::Work() {
+void Host::Run() {
   const auto start = steady_clock::now();
-  auto next = start + kLook;
+  auto next = start + kFilePollInterval;
   std::unique_lock lock(mutex_);
   while (!end_.wait_until(lock, next, [this] { return stopping_; })) {
-    next = std::max(next + kLook, steady_clock::now());
+    next = std::max(next + kFilePollInterval, steady_clock::now());
     lock.unlock();
     if (!settings_.faults.empty()) {
       const std::chrono::duration<double> since = steady_clock::now() - start;
       server_->SetFaults(FaultsAt(settings_.faults, since.count()));
     }
-    LookAtFiles();
+    CheckFiles();
     lock.lock();
   }
 }
--- a/src/nameserver/host.hpp
+++ b/src/nameserver/host.hpp
@@ -35,7 +35,7 @@
   void SetFaults(const Faults& faults) { server_->SetFaults(faults); }
 
  private:
-  struct Hosted {
+  struct HostedZone {
     ZoneSettings settings;
     std::unique_ptr<StoredZone> stored;
     std::unique_ptr<FileZone> from_file;
@@ -43,22 +43,22 @@
     ZoneManager* manager = nullptr;  // of the three, the one that it is
     std::unique_ptr<SecondaryZone> following;
     // Of the file: as it was when it was read, and as it was at the last look.
-    std::optional<zones::FileStamp> read, seen;
+    std::optional<zones::FileStamp> loaded_stamp, seen_stamp;
     bool good = false;    // what it said then was taken up
-    double kept_age = 0;  // of a followed zone's copy in its folder, in seconds
+    double copy_age = 0;  // of a followed zone's copy in its folder, in seconds
   };
 
-  void Open(Hosted& hosted);
-  void TakeFile(Hosted& hosted);
-  std::string TakeZone(Hosted& hosted, const dns::Zone& zone);
-  void LookAtFiles();
-  void Work();
+  void Open(HostedZone& hosted);
+  void LoadFile(HostedZone& hosted);
+  std::string ApplyFileZone(HostedZone& hosted, const dns::Zone& zone);
+  void CheckFiles();
+  void Run();
 
   const HostSettings settings_;
   const ZoneWatcher watcher_;
   std::mutex zones_mutex_;  // guards the zones and the responder
   Responder responder_;
-  std::vector<Hosted> hosted_;
+  std::vector<HostedZone> hosted_;
   std::unique_ptr<Server> server_;
   std::mutex mutex_;  // for the end
   std::condition_variable end_;
--- a/src/nameserver/responder.cpp
+++ b/src/nameserver/responder.cpp
@@ -28,27 +28,27 @@
 using dns::TsigError;
 using dns::TsigSession;
 
-std::optional<Rcode> Witnesses::Find(const std::string& mac) const {
+std::optional<Rcode> UpdateSignatureCache::Find(const std::string& mac) const {
   const auto found = seen_.find(mac);
   return found == seen_.end() ? std::nullopt : std::optional(found->second.rcode);
 }
 
-void Witnesses::Add(const std::string& mac, std::uint64_t signed_at, std::uint64_t until,
-                    Rcode rcode) {
+void UpdateSignatureCache::Add(const std::string& mac, std::uint64_t signed_at, std::uint64_t until,
+                               Rcode rcode) {
   if (!seen_.emplace(mac, Seen{signed_at, rcode}).second) return;
-  by_end_.emplace(until, mac);
-  while (seen_.size() > kMost) {
-    const auto first = by_end_.begin();
-    dropped_ = std::max(dropped_, seen_.at(first->second).signed_at);
+  by_expiry_.emplace(until, mac);
+  while (seen_.size() > kMaxEntries) {
+    const auto first = by_expiry_.begin();
+    newest_evicted_ = std::max(newest_evicted_, seen_.at(first->second).signed_at);
     seen_.erase(first->second);
-    by_end_.erase(first);
+    by_expiry_.erase(first);
   }
 }
 
-void Witnesses::Forget(std::uint64_t now) {
-  while (!by_end_.empty() && by_end_.begin()->first < now) {
-    seen_.erase(by_end_.begin()->second);
-    by_end_.erase(by_end_.begin());
+void UpdateSignatureCache::RemoveExpired(std::uint64_t now) {
+  while (!by_expiry_.empty() && by_expiry_.begin()->first < now) {
+    seen_.erase(by_expiry_.begin()->second);
+    by_expiry_.erase(by_expiry_.begin());
   }
 }
 
@@ -58,8 +58,9 @@
 
 void Responder::AddZone(ZoneManager* manager) {
   zones_[manager->zone().origin().Key()] = manager;
-  for (const dns::Witness& by : manager->witnesses()) {
-    witnesses_.Add(by.mac, by.signed_at, by.signed_at + dns::kFudgeSeconds, Rcode::kNoError);
+  for (const dns::UpdateSignature& signature : manager->signatures()) {
+    signatures_.Add(signature.mac, signature.signed_at, signature.signed_at + dns::kFudgeSeconds,
+                    Rcode::kNoError);
   }
 }
 
@@ -68,14 +69,14 @@
   grants_ = std::move(grants);
 }
 
-ZoneManager* Responder::ZoneAt(const Name& name) const {
+ZoneManager* Responder::ZoneWithApex(const Name& name) const {
   const auto zone = zones_.find(name.Key());
   return zone == zones_.end() ? nullptr : zone->second;
 }
 
-ZoneManager* Responder::ZoneOf(const Name& name) const {
+ZoneManager* Responder::ZoneContaining(const Name& name) const {
   for (Name at = name;; at = at.Parent()) {
-    if (ZoneManager* manager = ZoneAt(at)) return manager;
+    if (ZoneManager* manager = ZoneWithApex(at)) return manager;
     if (at.IsRoot()) return nullptr;
   }
 }
@@ -138,7 +139,7 @@
 Responder::Reply Responder::Signed(const Request& request, const Message& answer,
                                    std::string event) const {
   if (request.session == nullptr) return ReplyOf(Encode(answer, request.limit), std::move(event));
-  const std::size_t room = request.limit - std::min(request.limit, request.session->MostBytes());
+  const std::size_t room = request.limit - std::min(request.limit, request.session->MaxTsigBytes());
   return ReplyOf(request.session->Sign(Encode(answer, room), request.now), std::move(event));
 }
 
@@ -152,7 +153,7 @@
   if (question.klass != dns::klass::kIn && question.klass != dns::klass::kAny) {
     return Refuse(request, Rcode::kRefused, "class " + dns::ClassText(question.klass));
   }
-  const ZoneManager* manager = ZoneOf(question.name);
+  const ZoneManager* manager = ZoneContaining(question.name);
   if (manager == nullptr) {
     return Refuse(request, Rcode::kRefused, question.name.ToText() + " is in no zone here");
   }
@@ -177,7 +178,7 @@
 
 Responder::Reply Responder::Transfer(const Request& request) const {
   const dns::Question& question = request.message.question[0];
-  const ZoneManager* manager = ZoneAt(question.name);
+  const ZoneManager* manager = ZoneWithApex(question.name);
   const std::string what = dns::TypeText(question.type) + " of " + question.name.ToText();
   if (manager == nullptr || question.klass != dns::klass::kIn) {
     return Refuse(request, Rcode::kNotAuth, what + ": no such zone");
@@ -185,7 +186,7 @@
   if (!MayTransfer(grants_, question.name, request.key())) {
     return Refuse(request, Rcode::kRefused, what + ": no grant");
   }
-  if (question.type == dns::type::kIxfr && !SerialAskedFrom(request.message)) {
+  if (question.type == dns::type::kIxfr && !ClientSerial(request.message)) {
     return Refuse(request, Rcode::kFormErr, what + ": without the asker's SOA");
   }
   if (question.type == dns::type::kAxfr && !request.stream) {
@@ -202,7 +203,8 @@
 
 Responder::Reply Responder::Update(const Request& request) {
   const Message& message = request.message;
-  ZoneManager* manager = message.question.size() == 1 ? ZoneAt(message.question[0].name) : nullptr;
+  ZoneManager* manager =
+      message.question.size() == 1 ? ZoneWithApex(message.question[0].name) : nullptr;
   if (message.question.size() != 1) {
     return Refuse(request, Rcode::kFormErr, "an update of not one zone");
   }
@@ -215,12 +217,12 @@
   }
   if (!manager->answers()) return Refuse(request, Rcode::kServFail, "an update: not for now");
   const std::string mac = request.session != nullptr ? request.session->mac() : std::string();
-  witnesses_.Forget(request.now);
+  signatures_.RemoveExpired(request.now);
   if (!mac.empty()) {
-    if (const auto before = witnesses_.Find(mac)) {
+    if (const auto before = signatures_.Find(mac)) {
       return Signed(request, ReplyTo(message, *before), "an update that was answered before");
     }
-    if (witnesses_.IsTooOld(request.session->signed_at())) {
+    if (signatures_.IsTooOld(request.session->signed_at())) {
       return Refuse(request, Rcode::kRefused, "an update signed too long ago");
     }
   }
@@ -230,17 +232,17 @@
   std::string event = "updated " + manager->zone().origin().ToText() + ": nothing to change";
   if (outcome.change) {
     std::string why;
-    dns::Witness by;
-    if (!mac.empty()) by = {mac, request.session->signed_at()};
-    if (!manager->Commit(*outcome.change, mac.empty() ? nullptr : &by, why)) {
+    dns::UpdateSignature signature;
+    if (!mac.empty()) signature = {mac, request.session->signed_at()};
+    if (!manager->Commit(*outcome.change, mac.empty() ? nullptr : &signature, why)) {
       return Refuse(request, Rcode::kServFail, "an update that cannot be kept: " + why);
     }
     event = "updated " + manager->zone().origin().ToText() + " to serial " +
             std::to_string(manager->zone().serial());
   }
   if (!mac.empty()) {
-    witnesses_.Add(mac, request.session->signed_at(),
-                   request.session->signed_at() + dns::kFudgeSeconds, Rcode::kNoError);
+    signatures_.Add(mac, request.session->signed_at(),
+                    request.session->signed_at() + dns::kFudgeSeconds, Rcode::kNoError);
   }
   reply = Signed(request, ReplyTo(message, Rcode::kNoError), std::move(event));
   if (outcome.change) reply.changed = &manager->zone();
@@ -251,7 +253,7 @@
 Responder::Reply Responder::Notify(const Request& request) const {
   const Message& message = request.message;
   const ZoneManager* manager =
-      message.question.size() == 1 ? ZoneAt(message.question[0].name) : nullptr;
+      message.question.size() == 1 ? ZoneWithApex(message.question[0].name) : nullptr;
   if (manager == nullptr || manager->takes_updates()) {
     return Refuse(request, Rcode::kNotAuth, "a notice about a zone that is not followed");
   }
--- a/src/nameserver/responder.hpp
+++ b/src/nameserver/responder.hpp
@@ -24,9 +24,10 @@
  public:
   virtual ~ZoneManager() = default;
   [[nodiscard]] virtual const dns::Zone& zone() const = 0;
-  virtual bool Commit(const dns::Change& change, const dns::Witness* by, std::string& why) = 0;
+  virtual bool Commit(const dns::Change& change, const dns::UpdateSignature* signature,
+                      std::string& why) = 0;
   // What earlier changes were signed with.
-  [[nodiscard]] virtual std::vector<dns::Witness> witnesses() const { return {}; }
+  [[nodiscard]] virtual std::vector<dns::UpdateSignature> signatures() const { return {}; }
   // False for a zone that is followed, or has not been read yet, or has expired.
   [[nodiscard]] virtual bool answers() const { return true; }
   [[nodiscard]] virtual bool takes_updates() const { return true; }
@@ -34,17 +35,19 @@
 
 // Signatures of requests that changed something, so that one that is sent again within the window
 // of time is answered as before and does nothing (an old "add" must not undo a later "remove").
-class Witnesses {
+class UpdateSignatureCache {
  public:
-  static constexpr std::size_t kMost = 100'000;
+  static constexpr std::size_t kMaxEntries = 100'000;
 
   // What was answered to the request with this signature; nothing if it was not seen.
   [[nodiscard]] std::optional<dns::Rcode> Find(const std::string& mac) const;
   // `until` is when its window is over. Of more than kMost those whose windows end first go, and
   // no request as old as them is taken any more.
   void Add(const std::string& mac, std::uint64_t signed_at, std::uint64_t until, dns::Rcode rcode);
-  void Forget(std::uint64_t now);
-  [[nodiscard]] bool IsTooOld(std::uint64_t signed_at) const { return signed_at <= dropped_; }
+  void RemoveExpired(std::uint64_t now);
+  [[nodiscard]] bool IsTooOld(std::uint64_t signed_at) const {
+    return signed_at <= newest_evicted_;
+  }
 
  private:
   struct Seen {
@@ -52,8 +55,8 @@
     dns::Rcode rcode = dns::Rcode::kNoError;
   };
   std::map<std::string, Seen> seen_;
-  std::multimap<std::uint64_t, std::string> by_end_;
-  std::uint64_t dropped_ = 0;
+  std::multimap<std::uint64_t, std::string> by_expiry_;
+  std::uint64_t newest_evicted_ = 0;
 };
 
 class Responder {
@@ -88,8 +91,9 @@
     [[nodiscard]] std::optional<dns::Name> key() const;
   };
 
-  [[nodiscard]] ZoneManager* ZoneOf(const dns::Name& name) const;  // the nearest at or above
-  [[nodiscard]] ZoneManager* ZoneAt(const dns::Name& name) const;  // whose top it is
+  [[nodiscard]] ZoneManager* ZoneContaining(
+      const dns::Name& name) const;                                      // the nearest at or above
+  [[nodiscard]] ZoneManager* ZoneWithApex(const dns::Name& name) const;  // whose top it is
   [[nodiscard]] Reply Signed(const Request& request, const dns::Message& answer,
                              std::string event) const;
   [[nodiscard]] Reply Refuse(const Request& request, dns::Rcode rcode, std::string why) const;
@@ -101,7 +105,7 @@
   std::map<std::string, ZoneManager*> zones_;  // by the top's Key()
   dns::KeyRing keys_;
   std::vector<dns::Grant> grants_;
-  Witnesses witnesses_;
+  UpdateSignatureCache signatures_;
   std::optional<std::uint32_t> claimed_serial_;
 };
 
--- a/src/nameserver/secondary_zone.cpp
+++ b/src/nameserver/secondary_zone.cpp
@@ -15,18 +15,18 @@
 
 }  // namespace
 
-SecondaryZone::SecondaryZone(FollowedZone& zone, std::mutex& mutex, RequestOptions how, double age,
-                             ZoneWatcher watcher)
+SecondaryZone::SecondaryZone(FollowedZone& zone, std::mutex& mutex, RequestOptions options,
+                             double age, ZoneWatcher watcher)
     : zone_(zone),
       zones_mutex_(mutex),
-      how_(std::move(how)),
+      options_(std::move(options)),
       watcher_(std::move(watcher)),
       session_(SteadySeconds()) {
   if (zone_.zone().has_soa()) {
     const dns::Record soa = zone_.zone().Soa();
-    session_.Start(zone_.zone().serial(), dns::SoaTimers::Of(soa.rdata), age, SteadySeconds());
+    session_.Restore(zone_.zone().serial(), dns::SoaTimers::Of(soa.rdata), age, SteadySeconds());
   }
-  thread_ = Thread::Require("dns-follow", [this] { Follow(); });
+  thread_ = Thread::Require("dns-follow", [this] { Run(); });
 }
 
 SecondaryZone::~SecondaryZone() {
@@ -38,28 +38,28 @@
   thread_.Join();
 }
 
-void SecondaryZone::Notified(std::optional<std::uint32_t> serial) {
+void SecondaryZone::OnNotify(std::optional<std::uint32_t> serial) {
   const std::lock_guard lock(mutex_);
-  session_.Notified(serial, SteadySeconds());
-  poked_ = true;
+  session_.OnNotify(serial, SteadySeconds());
+  wake_requested_ = true;
   wake_.notify_all();
 }
 
-void SecondaryZone::Follow() {
+void SecondaryZone::Run() {
   std::unique_lock lock(mutex_);
   while (!stopping_) {
-    const auto step = session_.Due(SteadySeconds());
+    const auto step = session_.NextStep(SteadySeconds());
     if (step == dns::ZoneTransferSession::Step::kNothing) {
       // An hour at most: a due time far away is none to the clock's arithmetic.
-      const double wait = std::clamp(session_.NextDue() - SteadySeconds(), 0.001, 3600.0);
+      const double wait = std::clamp(session_.NextStepTime() - SteadySeconds(), 0.001, 3600.0);
       wake_.wait_for(lock, std::chrono::duration<double>(wait),
-                     [this] { return stopping_ || std::exchange(poked_, false); });
+                     [this] { return stopping_ || std::exchange(wake_requested_, false); });
       continue;
     }
     lock.unlock();
     switch (step) {
-      case dns::ZoneTransferSession::Step::kAskSerial:
-        AskSerial();
+      case dns::ZoneTransferSession::Step::kQuerySerial:
+        QuerySerial();
         break;
       case dns::ZoneTransferSession::Step::kTransfer:
         TransferNow(true);
@@ -67,7 +67,7 @@
       default: {
         const std::lock_guard zones(zones_mutex_);
         observe::Log(Concern::kZones, Level::kWarning, "zone expired",
-                     {{"zone", zone_.zone().origin().ToText()}, {"primary", how_.server}});
+                     {{"zone", zone_.zone().origin().ToText()}, {"primary", options_.server}});
         zone_.set_expired(true);
         if (watcher_.expired) watcher_.expired(zone_.zone());
       }
@@ -76,26 +76,26 @@
   }
 }
 
-void SecondaryZone::TellFailed(const std::string& why) {
+void SecondaryZone::ReportFailure(const std::string& why) {
   observe::LogSeldom(
       Concern::kZones, Level::kWarning, "zone not renewed",
-      {{"zone", zone_.zone().origin().ToText()}, {"primary", how_.server}, {"why", why}});
+      {{"zone", zone_.zone().origin().ToText()}, {"primary", options_.server}, {"why", why}});
   if (watcher_.failed) watcher_.failed(zone_.zone(), why);
 }
 
 void SecondaryZone::Fail(const std::string& why) {
   {
     const std::lock_guard zones(zones_mutex_);
-    TellFailed(why);
+    ReportFailure(why);
   }
   const std::lock_guard lock(mutex_);
-  session_.Failed(SteadySeconds());
+  session_.OnFailure(SteadySeconds());
 }
 
-void SecondaryZone::AskSerial() {
+void SecondaryZone::QuerySerial() {
   dns::Message message;
   message.question = {{zone_.zone().origin(), dns::type::kSoa, dns::klass::kIn}};
-  const RequestResult asked = SendRequest(how_, std::move(message));
+  const RequestResult asked = SendRequest(options_, std::move(message));
   const auto* answer = asked.answer ? &*asked.answer : nullptr;
   const bool good = answer != nullptr && answer->rcode == dns::Rcode::kNoError &&
                     answer->authoritative && answer->answer.size() == 1 &&
@@ -108,17 +108,17 @@
   const auto serial = dns::SerialOf(answer->answer[0].rdata);
   const std::lock_guard zones(zones_mutex_);
   const std::lock_guard lock(mutex_);
-  session_.SerialIs(serial, SteadySeconds());
+  session_.OnSerial(serial, SteadySeconds());
   if (serial == zone_.zone().serial()) {
     zone_.set_expired(false);
     if (watcher_.confirmed) watcher_.confirmed(zone_.zone());
   } else if (!dns::IsNewer(serial, zone_.zone().serial())) {
-    TellFailed("the primary's serial is " + std::to_string(serial) + ", not newer than " +
-               std::to_string(zone_.zone().serial()));
+    ReportFailure("the primary's serial is " + std::to_string(serial) + ", not newer than " +
+                  std::to_string(zone_.zone().serial()));
   }
 }
 
-bool SecondaryZone::TakeWholeZone(const dns::Zone& fetched, std::string& why) {
+bool SecondaryZone::ApplyFullZone(const dns::Zone& fetched, std::string& why) {
   std::optional<dns::Change> change;
   if (zone_.zone().has_soa()) {
     if (dns::IsNewer(zone_.zone().serial(), fetched.serial())) {
@@ -134,12 +134,12 @@
   return true;
 }
 
-SecondaryZone::AppliedChanges SecondaryZone::TakeChanges(const std::vector<dns::Change>& changes,
-                                                         std::string& why) {
+SecondaryZone::AppliedChanges SecondaryZone::ApplyChanges(const std::vector<dns::Change>& changes,
+                                                          std::string& why) {
   AppliedChanges applied;
   for (const dns::Change& change : changes) {
     if (!zone_.Commit(change, nullptr, why)) {
-      applied.all_fit = false;
+      applied.all_applied = false;
       return applied;
     }
     ++applied.count;
@@ -149,17 +149,17 @@
   return applied;
 }
 
-void SecondaryZone::NoteTransferred(bool changed) {
+void SecondaryZone::RecordTransfer(bool changed) {
   const std::lock_guard lock(mutex_);
-  if (!changed) return session_.IsUpToDate(SteadySeconds());
-  session_.Took(zone_.zone().serial(), dns::SoaTimers::Of(zone_.zone().Soa().rdata),
-                SteadySeconds());
+  if (!changed) return session_.OnUpToDate(SteadySeconds());
+  session_.OnTransferred(zone_.zone().serial(), dns::SoaTimers::Of(zone_.zone().Soa().rdata),
+                         SteadySeconds());
 }
 
-void SecondaryZone::TransferNow(bool by_changes) {
+void SecondaryZone::TransferNow(bool incremental) {
   std::optional<dns::Record> have;
-  if (by_changes && zone_.zone().has_soa()) have = zone_.zone().Soa();
-  const dns::TransferResult result = Transfer(how_, zone_.zone().origin(), have);
+  if (incremental && zone_.zone().has_soa()) have = zone_.zone().Soa();
+  const dns::TransferResult result = Transfer(options_, zone_.zone().origin(), have);
   std::string why;
   bool again = false;
   {
@@ -167,11 +167,12 @@
     const std::uint32_t before = zone_.zone().serial();
     bool changed = false;
     if (const auto* whole = std::get_if<dns::FullZone>(&result)) {
-      changed = TakeWholeZone(whole->zone, why);
+      changed = ApplyFullZone(whole->zone, why);
     } else if (const auto* changes = std::get_if<dns::Changes>(&result)) {
-      const AppliedChanges applied = TakeChanges(changes->changes, why);
+      const AppliedChanges applied = ApplyChanges(changes->changes, why);
       changed = applied.count > 0;
-      again = !applied.all_fit;  // what the primary says does not fit what is held: fetch it all
+      again =
+          !applied.all_applied;  // what the primary says does not fit what is held: fetch it all
     } else if (std::holds_alternative<dns::UpToDate>(result)) {
       zone_.set_expired(false);
       if (watcher_.confirmed) watcher_.confirmed(zone_.zone());
@@ -184,10 +185,10 @@
                     {"from", before},
                     {"to", zone_.zone().serial()}});
     }
-    if (why.empty()) NoteTransferred(changed);
+    if (why.empty()) RecordTransfer(changed);
   }
   if (why.empty()) return;
-  if (again && by_changes) return TransferNow(false);
+  if (again && incremental) return TransferNow(false);
   Fail(why);
 }
 
--- a/src/nameserver/secondary_zone.hpp
+++ b/src/nameserver/secondary_zone.hpp
@@ -31,39 +31,39 @@
 class SecondaryZone {
  public:
   // `mutex` guards the zone. `age` is how long ago, in seconds, what the zone holds was confirmed.
-  SecondaryZone(FollowedZone& zone, std::mutex& mutex, RequestOptions how, double age,
+  SecondaryZone(FollowedZone& zone, std::mutex& mutex, RequestOptions options, double age,
                 ZoneWatcher watcher);
   ~SecondaryZone();
 
   // From a notice; never waits for the thread.
-  void Notified(std::optional<std::uint32_t> serial);
+  void OnNotify(std::optional<std::uint32_t> serial);
 
  private:
-  void Follow();
-  void AskSerial();
-  void TransferNow(bool by_changes);
+  void Run();
+  void QuerySerial();
+  void TransferNow(bool incremental);
 
   struct AppliedChanges {
     std::size_t count = 0;
-    bool all_fit = true;
+    bool all_applied = true;
   };
 
   // With the zones' mutex held; `why` tells what did not fit.
-  bool TakeWholeZone(const dns::Zone& fetched, std::string& why);
-  AppliedChanges TakeChanges(const std::vector<dns::Change>& changes, std::string& why);
-  void NoteTransferred(bool changed);
+  bool ApplyFullZone(const dns::Zone& fetched, std::string& why);
+  AppliedChanges ApplyChanges(const std::vector<dns::Change>& changes, std::string& why);
+  void RecordTransfer(bool changed);
 
-  void TellFailed(const std::string& why);  // with the zones' mutex held
+  void ReportFailure(const std::string& why);  // with the zones' mutex held
   void Fail(const std::string& why);
 
   FollowedZone& zone_;
   std::mutex& zones_mutex_;
-  const RequestOptions how_;
+  const RequestOptions options_;
   const ZoneWatcher watcher_;
   std::mutex mutex_;  // guards what follows; taken after the zones' mutex, if both are
   std::condition_variable wake_;
   dns::ZoneTransferSession session_;
-  bool poked_ = false;
+  bool wake_requested_ = false;
   bool stopping_ = false;
   Thread thread_;
 };
--- a/src/nameserver/server.cpp
+++ b/src/nameserver/server.cpp
@@ -26,14 +26,14 @@
 using std::chrono::steady_clock;
 
 // A notice is sent again after this, then after twice as long, and so on (RFC 1996 §3.6).
-constexpr milliseconds kNoticeWait{200};
+constexpr milliseconds kFirstNoticeInterval{200};
 constexpr int kNoticeTries = 6;
 constexpr std::size_t kStreamThreads = 8;
-constexpr milliseconds kSendTime{5000};  // for one answer over a stream
-constexpr int kPortTries = 50;           // TCP's free port may be taken for UDP
+constexpr milliseconds kSendTimeout{5000};  // for one answer over a stream
+constexpr int kBindTries = 50;              // TCP's free port may be taken for UDP
 
 constexpr const char* kLogSide = "zone side";
-constexpr milliseconds kNoticeAnswerTime{50};
+constexpr milliseconds kNoticeAnswerTimeout{50};
 constexpr ssize_t kHeaderBytes = 12;  // of a DNS message
 
 std::string NotifyMessage(const dns::Name& zone, std::uint16_t id) {
@@ -49,7 +49,7 @@
 
 Server::Server(Options options, Responder& responder, std::mutex& mutex)
     : options_(std::move(options)), responder_(responder), mutex_(mutex) {
-  for (int attempt = 0; attempt < kPortTries && !datagrams_.is_open(); ++attempt) {
+  for (int attempt = 0; attempt < kBindTries && !datagrams_.is_open(); ++attempt) {
     const bool listening = RetryAtStart(SystemCall::kBind, [this] {
       listener_ = Listen(options_.address);
       return listener_.is_open();
@@ -67,7 +67,7 @@
   threads_ = std::make_unique<ThreadPool<std::shared_ptr<Connection>>>(
       "dns-answer",
       ThreadPool<std::shared_ptr<Connection>>::Size{1, kStreamThreads, milliseconds(2000)},
-      [this](std::shared_ptr<Connection> connection) { ServeOne(std::move(connection)); });
+      [this](std::shared_ptr<Connection> connection) { ServeConnection(std::move(connection)); });
   datagram_thread_ = Thread::Require("dns-udp", [this] { ServeDatagrams(); });
   stream_thread_ = Thread::Require("dns-tcp", [this] { ServeStreams(); });
   notice_thread_ = Thread::Require("dns-notice", [this] { SendNotices(); });
@@ -194,8 +194,8 @@
     wanted.push_back({connection->socket.fd(), POLLIN, 0});
     next = std::min(next, connection->until);
   }
-  const auto left = std::chrono::ceil<milliseconds>(next - steady_clock::now()).count();
-  poll(wanted.data(), wanted.size(), static_cast<int>(std::max<std::int64_t>(left, 0)));
+  const auto timeout = std::chrono::ceil<milliseconds>(next - steady_clock::now()).count();
+  poll(wanted.data(), wanted.size(), static_cast<int>(std::max<std::int64_t>(timeout, 0)));
   if (wanted[1].revents != 0) {
     std::uint64_t count = 0;
     (void)!read(wake_, &count, sizeof count);
@@ -236,7 +236,7 @@
   }
 }
 
-void Server::ServeOne(std::shared_ptr<Connection> connection) {
+void Server::ServeConnection(std::shared_ptr<Connection> connection) {
   std::array<char, 4096> buffer{};
   const auto length = connection->socket.ReceiveNow(buffer);
   if (length == 0 || (length < 0 && errno != EAGAIN)) {
@@ -269,10 +269,10 @@
     answers.resize((answers.size() + 1) / 2);
     if (answers.size() == 1) answers[0].resize(answers[0].size() / 2);
   }
-  const auto until = steady_clock::now() + kSendTime;
+  const auto until = steady_clock::now() + kSendTimeout;
   for (const std::string& answer : answers) {
     // With half a transfer the length is the whole one's, as a stream that breaks has it.
-    std::string framed = dns::InStream(answer);
+    std::string framed = dns::WithLengthPrefix(answer);
     if (half) framed[0] = static_cast<char>(framed[0] | 0x40);
     if (!connection.socket.SendAll(framed, until)) {
       Close(connection, "the client does not read");
@@ -292,7 +292,7 @@
     auto& notices = due_notices_[secondary];
     // A newer notice of the zone takes the place of the one that waits.
     std::erase_if(notices, [&zone](const Notice& notice) { return notice.zone == zone; });
-    notices.push_back({zone, steady_clock::now(), kNoticeWait, kNoticeTries, RandomId()});
+    notices.push_back({zone, steady_clock::now(), kFirstNoticeInterval, kNoticeTries, RandomId()});
   }
   announced_ = true;
   state_changed_.notify_all();
@@ -304,13 +304,13 @@
   const std::lock_guard lock(state_mutex_);
   announced_ = false;
   for (auto& [secondary, notices] : due_notices_) {
-    std::erase_if(notices, [](const Notice& notice) { return notice.left <= 0; });
+    std::erase_if(notices, [](const Notice& notice) { return notice.tries_left <= 0; });
     for (Notice& notice : notices) {
       if (notice.due <= steady_clock::now()) {
         due.push_back({secondary, NotifyMessage(notice.zone, notice.id)});
-        notice.due = steady_clock::now() + notice.wait;
-        notice.wait *= 2;
-        --notice.left;
+        notice.due = steady_clock::now() + notice.interval;
+        notice.interval *= 2;
+        --notice.tries_left;
       }
       next = std::min(next, notice.due);
     }
@@ -323,7 +323,7 @@
   const Socket to = ConnectDatagrams(notice.secondary);
   if (!to.is_open()) return;
   send(to.fd(), notice.bytes.data(), notice.bytes.size(), MSG_NOSIGNAL);
-  if (!to.AwaitInput(steady_clock::now() + kNoticeAnswerTime)) return;
+  if (!to.AwaitInput(steady_clock::now() + kNoticeAnswerTimeout)) return;
   std::array<char, 512> buffer{};
   const ssize_t length = recv(to.fd(), buffer.data(), buffer.size(), MSG_DONTWAIT);
   if (length < kHeaderBytes) return;
--- a/src/nameserver/server.hpp
+++ b/src/nameserver/server.hpp
@@ -79,8 +79,8 @@
   struct Notice {
     dns::Name zone;
     SteadyTime due;
-    std::chrono::milliseconds wait{};
-    int left = 0;
+    std::chrono::milliseconds interval{};
+    int tries_left = 0;
     std::uint16_t id = 0;
   };
 
@@ -95,7 +95,7 @@
   Connections AwaitStreams(Connections idle);
   void AcceptStreams(Connections& idle);
   bool AnswerOnStream(Connection& connection, std::string_view message);
-  void ServeOne(std::shared_ptr<Connection> connection);
+  void ServeConnection(std::shared_ptr<Connection> connection);
   void SendNotices();
   std::vector<OutgoingNotice> TakeDueNotices(SteadyTime& next);
   void SendNotice(const OutgoingNotice& notice);
--- a/src/nameserver/settings.cpp
+++ b/src/nameserver/settings.cpp
@@ -36,19 +36,19 @@
     for (const Record& zone : root.At("zones").Items()) ReadZone(zone, settings);
     for (const Record& grant : root.At("grants").Items()) ReadGrant(grant, settings);
     for (const Record& fault : root.At("faults").Items()) {
-      FaultAct& act = settings.faults.emplace_back();
-      act.at = SecondsIn(fault.At("at"));
-      act.length = SecondsIn(fault.At("for"));
-      act.faults.quiet = fault.At("quiet").Bool();
-      act.faults.delay =
+      ScheduledFault& scheduled = settings.faults.emplace_back();
+      scheduled.at = SecondsIn(fault.At("at"));
+      scheduled.length = SecondsIn(fault.At("for"));
+      scheduled.faults.quiet = fault.At("quiet").Bool();
+      scheduled.faults.delay =
           std::chrono::duration_cast<std::chrono::milliseconds>(fault.At("delay").Duration());
-      act.faults.refuse = fault.At("refuse").Bool();
-      act.faults.truncate = fault.At("truncate").Bool();
-      act.faults.half_transfers = fault.At("half_transfers").Bool();
-      act.faults.garbage = fault.At("garbage").Bool();
-      act.faults.notices = fault.At("notices").Bool();
+      scheduled.faults.refuse = fault.At("refuse").Bool();
+      scheduled.faults.truncate = fault.At("truncate").Bool();
+      scheduled.faults.half_transfers = fault.At("half_transfers").Bool();
+      scheduled.faults.garbage = fault.At("garbage").Bool();
+      scheduled.faults.notices = fault.At("notices").Bool();
       if (const Record* serial = fault.Find("serial")) {
-        act.faults.claimed_serial = static_cast<std::uint32_t>(serial->Int());
+        scheduled.faults.claimed_serial = static_cast<std::uint32_t>(serial->Int());
       }
     }
     Throw();
--- a/src/nameserver/settings.hpp
+++ b/src/nameserver/settings.hpp
@@ -23,7 +23,7 @@
 };
 
 // From `at` seconds after the start, for `length` seconds.
-struct FaultAct {
+struct ScheduledFault {
   double at = 0;
   double length = 0;
   Faults faults;
@@ -34,7 +34,7 @@
   std::vector<ZoneSettings> zones;
   dns::KeyRing keys;
   std::vector<dns::Grant> grants;
-  std::vector<FaultAct> faults;
+  std::vector<ScheduledFault> faults;
 };
 
 double SecondsIn(const records::Record& duration);
--- a/src/nameserver/zone_managers.hpp
+++ b/src/nameserver/zone_managers.hpp
@@ -20,14 +20,15 @@
   zones::ZoneStore& store() { return store_; }
   [[nodiscard]] const dns::Zone& zone() const override { return store_.zone(); }
   [[nodiscard]] bool answers() const override { return store_.zone().has_soa(); }
-  bool Commit(const dns::Change& change, const dns::Witness* by, std::string& why) override {
-    if (store_.Commit(change, by)) return true;
+  bool Commit(const dns::Change& change, const dns::UpdateSignature* signature,
+              std::string& why) override {
+    if (store_.Commit(change, signature)) return true;
     why = store_.why();
     return false;
   }
 
-  [[nodiscard]] std::vector<dns::Witness> witnesses() const override {
-    return {store_.witnesses().begin(), store_.witnesses().end()};
+  [[nodiscard]] std::vector<dns::UpdateSignature> signatures() const override {
+    return {store_.signatures().begin(), store_.signatures().end()};
   }
 
  private:
@@ -41,7 +42,7 @@
 
   [[nodiscard]] const dns::Zone& zone() const override { return zone_; }
   [[nodiscard]] bool answers() const override { return zone_.has_soa(); }
-  bool Commit(const dns::Change& change, const dns::Witness*, std::string& why) override {
+  bool Commit(const dns::Change& change, const dns::UpdateSignature*, std::string& why) override {
     if (zone_.Apply(change)) return true;
     why = "the change does not start from what the zone holds";
     return false;
@@ -71,7 +72,7 @@
   [[nodiscard]] const dns::Zone& zone() const override { return store_ ? store_->zone() : zone_; }
   [[nodiscard]] bool answers() const override { return zone().has_soa() && !expired_; }
   [[nodiscard]] bool takes_updates() const override { return false; }
-  bool Commit(const dns::Change& change, const dns::Witness*, std::string& why) override {
+  bool Commit(const dns::Change& change, const dns::UpdateSignature*, std::string& why) override {
     if (store_ ? store_->Commit(change) : zone_.Apply(change)) return true;
     why = store_ ? store_->why() : "the change does not start from what the zone holds";
     return false;
--- a/src/zones/store.cpp
+++ b/src/zones/store.cpp
@@ -22,12 +22,13 @@
 using dns::Put32;
 
 // A file starts with these and the zone's name. The digit is the format's version.
-constexpr std::string_view kJournalMark = "brassfront zone journal 1\n";
-constexpr std::string_view kSnapshotMark = "brassfront zone snapshot 1\n";
+constexpr std::string_view kJournalMagic = "brassfront zone journal 1\n";
+constexpr std::string_view kSnapshotMagic = "brassfront zone snapshot 1\n";
 // An entry: length of the body (4), its checksum (8), the body, whose first 8 bytes are its number.
-constexpr std::size_t kEntryHead = 12;
-constexpr std::size_t kMaxWitnesses = 100'000;
-constexpr std::size_t kPieceBytes = 1 << 16;  // of a snapshot; each with a checksum as an entry
+constexpr std::size_t kEntryHeaderBytes = 12;
+constexpr std::size_t kMaxSignatures = 100'000;
+constexpr std::size_t kSnapshotEntryBytes =
+    1 << 16;  // of a snapshot; each with a checksum as an entry
 
 void Put64(std::string& out, std::uint64_t value) {
   Put32(out, static_cast<std::uint32_t>(value >> 32));
@@ -67,28 +68,29 @@
 }
 
 // An entry's body: its number, its signature if it has one, and the change if it has one.
-std::string WitnessBody(std::uint64_t number, const dns::Witness* by) {
+std::string SignatureBody(std::uint64_t number, const dns::UpdateSignature* signature) {
   std::string body;
   Put64(body, number);
-  Put16(body, by == nullptr ? 0 : static_cast<std::uint32_t>(by->mac.size()));
-  if (by != nullptr) body += by->mac;
-  Put64(body, by == nullptr ? 0 : by->signed_at);
+  Put16(body, signature == nullptr ? 0 : static_cast<std::uint32_t>(signature->mac.size()));
+  if (signature != nullptr) body += signature->mac;
+  Put64(body, signature == nullptr ? 0 : signature->signed_at);
   return body;
 }
 
 // Taken off the start of a body without its number; false if it is not one.
-bool TakeWitness(std::string_view& body, dns::Witness& by) {
+bool TakeSignature(std::string_view& body, dns::UpdateSignature& signature) {
   if (body.size() < 2) return false;
   const std::size_t length = Get16(body, 0);
   if (body.size() < 2 + length + 8) return false;
-  by.mac = body.substr(2, length);
-  by.signed_at = Get64(body, 2 + length);
+  signature.mac = body.substr(2, length);
+  signature.signed_at = Get64(body, 2 + length);
   body.remove_prefix(2 + length + 8);
   return true;
 }
 
-std::string ChangeBody(std::uint64_t number, const dns::Change& change, const dns::Witness* by) {
-  std::string body = WitnessBody(number, by);
+std::string ChangeBody(std::uint64_t number, const dns::Change& change,
+                       const dns::UpdateSignature* signature) {
+  std::string body = SignatureBody(number, signature);
   for (const auto* records : {&change.removed, &change.added}) {
     Put32(body, static_cast<std::uint32_t>(records->size()));
     for (const auto& record : *records) PutRecord(body, record);
@@ -118,21 +120,21 @@
 Next TakeEntry(std::string_view bytes, std::size_t& at, std::string_view& body) {
   const std::size_t left = bytes.size() - at;
   if (left == 0) return Next::kEnd;
-  if (left < kEntryHead) return Next::kBad;
+  if (left < kEntryHeaderBytes) return Next::kBad;
   const std::size_t length = Get32(bytes, at);
-  if (length < 8 || left - kEntryHead < length) return Next::kBad;
-  body = bytes.substr(at + kEntryHead, length);
+  if (length < 8 || left - kEntryHeaderBytes < length) return Next::kBad;
+  body = bytes.substr(at + kEntryHeaderBytes, length);
   if (XXH64(body.data(), length, length) != Get64(bytes, at + 4)) return Next::kBad;
-  at += kEntryHead + length;
+  at += kEntryHeaderBytes + length;
   return Next::kEntry;
 }
 
 // Whether a whole entry with a number above `number` starts anywhere behind `at`. What a write that
 // was cut short leaves has none behind it; a bad entry that has is damage.
-bool HasEntryBehind(std::string_view bytes, std::size_t at, std::uint64_t number) {
+bool HasEntryAfter(std::string_view bytes, std::size_t at, std::uint64_t number) {
   constexpr std::uint64_t kMaxEntries = std::uint64_t{1} << 32;  // behind one that is bad
-  while (++at + kEntryHead + 8 <= bytes.size()) {
-    const std::uint64_t found = Get64(bytes, at + kEntryHead);
+  while (++at + kEntryHeaderBytes + 8 <= bytes.size()) {
+    const std::uint64_t found = Get64(bytes, at + kEntryHeaderBytes);
     if (found <= number || found - number > kMaxEntries) continue;
     std::size_t tried = at;
     std::string_view body;
@@ -141,8 +143,8 @@
   return false;
 }
 
-std::string Start(std::string_view mark, const dns::Name& origin) {
-  return std::string(mark) + origin.Lower().ToText() + "\n";
+std::string FileHeader(std::string_view magic, const dns::Name& origin) {
+  return std::string(magic) + origin.Lower().ToText() + "\n";
 }
 
 std::optional<std::string> ReadFile(const std::string& path) {
@@ -165,7 +167,7 @@
   return write(fd, bytes, length);
 }
 int Disk::Synchronise(int fd) { return fdatasync(fd); }
-int Disk::Cut(int fd, std::size_t size) { return ftruncate(fd, static_cast<off_t>(size)); }
+int Disk::Truncate(int fd, std::size_t size) { return ftruncate(fd, static_cast<off_t>(size)); }
 int Disk::Rename(const char* from, const char* to) { return std::rename(from, to); }
 
 ZoneStore::ZoneStore(std::string folder, const dns::Name& origin, Options options)
@@ -215,7 +217,7 @@
 void ZoneStore::ReadSnapshot() {
   const std::string snapshot = folder_ + "/snapshot";
   const auto bytes = ReadFile(snapshot);
-  const std::string start = Start(kSnapshotMark, zone_.origin());
+  const std::string start = FileHeader(kSnapshotMagic, zone_.origin());
   if (!bytes) throw StoreError(snapshot + " cannot be read: " + std::strerror(errno));
   if (!bytes->starts_with(start)) {
     throw StoreError(snapshot + " is no snapshot of " + zone_.origin().ToText() +
@@ -243,7 +245,7 @@
 
 void ZoneStore::ReplayJournal(std::string_view bytes) {
   const std::string journal = folder_ + "/journal";
-  const std::string start = Start(kJournalMark, zone_.origin());
+  const std::string start = FileHeader(kJournalMagic, zone_.origin());
   if (!bytes.starts_with(start)) {
     throw StoreError(journal + " is no journal of " + zone_.origin().ToText() +
                      " in this version's format");
@@ -256,20 +258,20 @@
     if (next == Next::kEnd) break;
     const std::string place = journal + " at byte " + std::to_string(before);
     if (next == Next::kBad) {
-      if (HasEntryBehind(bytes, before, entries_)) {
+      if (HasEntryAfter(bytes, before, entries_)) {
         throw StoreError(place + " is damaged, with more behind it: restore it from a copy");
       }
       cut_bytes_ = bytes.size() - before;
-      if (disk_.Cut(journal_, before) != 0 || disk_.Synchronise(journal_) != 0) {
+      if (disk_.Truncate(journal_, before) != 0 || disk_.Synchronise(journal_) != 0) {
         throw StoreError(journal + ": its half last entry cannot be cut off");
       }
       break;
     }
     const std::uint64_t number = Get64(body, 0);
     body.remove_prefix(8);
-    dns::Witness by;
-    if (!TakeWitness(body, by)) throw StoreError(place + " has no signature's place");
-    if (!by.mac.empty()) Remember(by);
+    dns::UpdateSignature signature;
+    if (!TakeSignature(body, signature)) throw StoreError(place + " has no signature's place");
+    if (!signature.mac.empty()) Remember(signature);
     if (number <= entries_) continue;  // in the snapshot
     const auto change = ChangeIn(body);
     if (number != entries_ + 1 || !change || !zone_.Apply(*change)) {
@@ -309,14 +311,14 @@
   }
   if (SynchroniseFolder(disk_, folder_)) return true;
   // The new file has its name now, or will have the old one after a power cut: nobody can tell.
-  broken_ = true;
+  write_failed_ = true;
   return Fail(folder_);
 }
 
 bool ZoneStore::WriteSnapshot(const dns::Zone& zone) {
   std::size_t size = 0;
   const bool done = WriteNew("snapshot", [&](int fd) {
-    std::string out = Start(kSnapshotMark, zone.origin());
+    std::string out = FileHeader(kSnapshotMagic, zone.origin());
     std::string body;
     bool good = true;
     const auto flush = [&] {
@@ -331,7 +333,7 @@
     PutRecord(body, zone.Soa());
     zone.EachRecord([&](const dns::Record& record) {
       PutRecord(body, record);
-      if (body.size() >= kPieceBytes) flush();
+      if (body.size() >= kSnapshotEntryBytes) flush();
     });
     if (body.size() > 8) flush();
     flush();  // an empty one is the end
@@ -342,12 +344,13 @@
 }
 
 bool ZoneStore::StartJournal() {
-  std::string start = Start(kJournalMark, zone_.origin());
-  for (const dns::Witness& by : witnesses_) start += Entry(WitnessBody(entries_, &by));
+  std::string start = FileHeader(kJournalMagic, zone_.origin());
+  for (const dns::UpdateSignature& signature : signatures_)
+    start += Entry(SignatureBody(entries_, &signature));
   if (!WriteNew("journal", [&](int fd) { return WriteAll(fd, start); })) return false;
   const int fd = open((folder_ + "/journal").c_str(), O_RDWR | O_APPEND | O_CLOEXEC);
   if (fd < 0) {
-    broken_ = true;  // what is open has lost its name: nothing may go there any more
+    write_failed_ = true;  // what is open has lost its name: nothing may go there any more
     return Fail(folder_ + "/journal");
   }
   if (journal_ >= 0) close(journal_);
@@ -363,39 +366,40 @@
   }
   Fail(folder_ + "/journal");
   // The half entry may not stay before a later whole one.
-  if (disk_.Cut(journal_, journal_bytes_) != 0 || disk_.Synchronise(journal_) != 0) {
-    broken_ = true;
+  if (disk_.Truncate(journal_, journal_bytes_) != 0 || disk_.Synchronise(journal_) != 0) {
+    write_failed_ = true;
     why_ += "; the half entry cannot be cut off";
   }
   return false;
 }
 
-void ZoneStore::Remember(const dns::Witness& by) {
-  witnesses_.push_back(by);
-  while (witnesses_.size() > kMaxWitnesses ||
-         witnesses_.front().signed_at + std::uint64_t{2} * dns::kFudgeSeconds < by.signed_at) {
-    witnesses_.pop_front();
+void ZoneStore::Remember(const dns::UpdateSignature& signature) {
+  signatures_.push_back(signature);
+  while (signatures_.size() > kMaxSignatures ||
+         signatures_.front().signed_at + std::uint64_t{2} * dns::kFudgeSeconds <
+             signature.signed_at) {
+    signatures_.pop_front();
   }
 }
 
 bool ZoneStore::MayWrite() {
   why_.clear();
-  if (broken_) {
+  if (write_failed_) {
     why_ = folder_ + " could not be written to before; what it holds stands until the next start";
   }
-  return !broken_;
+  return !write_failed_;
 }
 
-bool ZoneStore::Commit(const dns::Change& change, const dns::Witness* by) {
+bool ZoneStore::Commit(const dns::Change& change, const dns::UpdateSignature* signature) {
   if (!MayWrite()) return false;
-  if (!zone_.Fits(change)) {
+  if (!zone_.CanApply(change)) {
     why_ = "the change does not start from what the zone holds";
     return false;
   }
-  if (!Append(Entry(ChangeBody(entries_ + 1, change, by)))) return false;
+  if (!Append(Entry(ChangeBody(entries_ + 1, change, signature)))) return false;
   ++entries_;
-  if (by != nullptr) Remember(*by);
-  zone_.ApplyFitting(change);
+  if (signature != nullptr) Remember(*signature);
+  zone_.ApplyUnchecked(change);
   if (journal_bytes_ > options_.compact_bytes && journal_bytes_ > snapshot_bytes_) {
     // The change stands whether or not this succeeds; the journal goes on where it was.
     if (WriteSnapshot(zone_)) StartJournal();
--- a/src/zones/store.hpp
+++ b/src/zones/store.hpp
@@ -38,7 +38,7 @@
   virtual ~Disk() = default;
   virtual ssize_t Write(int fd, const char* bytes, std::size_t length);  // as write(2)
   virtual int Synchronise(int fd);                                       // as fdatasync(2)
-  virtual int Cut(int fd, std::size_t size);                             // as ftruncate(2)
+  virtual int Truncate(int fd, std::size_t size);                        // as ftruncate(2)
   virtual int Rename(const char* from, const char* to);                  // as rename(2)
 };
 
@@ -59,13 +59,13 @@
   // Without a SOA if nothing was stored yet.
   [[nodiscard]] const dns::Zone& zone() const { return zone_; }
   // At the start, of a last entry that was half written.
-  [[nodiscard]] std::size_t cut_bytes() const { return cut_bytes_; }
+  [[nodiscard]] std::size_t truncated_bytes() const { return cut_bytes_; }
 
   // Makes the change durable, with what it was signed with if it was, and then applies it. False,
   // with nothing changed, if it does not fit the zone or cannot be written: why() tells.
-  bool Commit(const dns::Change& change, const dns::Witness* by = nullptr);
+  bool Commit(const dns::Change& change, const dns::UpdateSignature* signature = nullptr);
   // Of the changes so far, those that may be sent again (within twice the window of time).
-  [[nodiscard]] const std::deque<dns::Witness>& witnesses() const { return witnesses_; }
+  [[nodiscard]] const std::deque<dns::UpdateSignature>& signatures() const { return signatures_; }
   // Puts another zone's data in the place of all, as one change, or as a snapshot if there was no
   // data yet or nothing leads from one to the other.
   bool Replace(const dns::Zone& zone);
@@ -78,7 +78,7 @@
   bool MayWrite();
   bool WriteSnapshot(const dns::Zone& zone);
   bool StartJournal();
-  void Remember(const dns::Witness& by);
+  void Remember(const dns::UpdateSignature& signature);
   bool Append(std::string_view entry);
   bool WriteAll(int fd, std::string_view bytes);
   bool Fail(const std::string& what);
@@ -94,9 +94,10 @@
   std::size_t journal_bytes_ = 0;
   std::size_t snapshot_bytes_ = 0;
   std::uint64_t entries_ = 0;  // written so far, over all journals
-  std::deque<dns::Witness> witnesses_;
+  std::deque<dns::UpdateSignature> signatures_;
   std::size_t cut_bytes_ = 0;
-  bool broken_ = false;  // what the disk holds cannot be told, so that nothing more may go there
+  bool write_failed_ =
+      false;  // what the disk holds cannot be told, so that nothing more may go there
   std::string why_;
 };
 
--- a/src/zones/zone_source.cpp
+++ b/src/zones/zone_source.cpp
@@ -64,8 +64,8 @@
     throw dns::InvalidZone({{path, 0, 0, error ? "cannot be read: " + error.message() : why}});
   }
   const fs::path folder = real.parent_path();
-  const auto including = [&folder](const dns::ZoneText& from, const std::string& named,
-                                   std::string& fault) -> std::optional<dns::ZoneText> {
+  const auto resolve_include = [&folder](const dns::ZoneText& from, const std::string& named,
+                                         std::string& fault) -> std::optional<dns::ZoneText> {
     std::error_code missing;
     const fs::path wanted = fs::path(from.identity).parent_path() / named;
     const fs::path found = fs::canonical(wanted, missing);
@@ -79,7 +79,7 @@
     }
     return ReadText(found.string(), found.lexically_relative(folder).string(), fault);
   };
-  return dns::ReadZone(*text, origin, including);
+  return dns::ReadZone(*text, origin, resolve_include);
 }
 
 }  // namespace brassfront::zones
--- a/tests/dns/responder_test.cpp
+++ b/tests/dns/responder_test.cpp
@@ -209,25 +209,25 @@
 }
 
 TEST_CASE("witnesses end with their window, and are bounded") {
-  Witnesses witnesses;
-  witnesses.Add("m", 10, 310, Rcode::kNoError);
-  witnesses.Forget(310);
-  CHECK(witnesses.Find("m"));
-  witnesses.Forget(311);
-  CHECK_FALSE(witnesses.Find("m"));
-  CHECK_FALSE(witnesses.IsTooOld(10));
-  for (std::size_t n = 0; n <= Witnesses::kMost; ++n) {
-    witnesses.Add(std::to_string(n), 100 + n, 400 + n, Rcode::kNoError);
+  UpdateSignatureCache signatures;
+  signatures.Add("m", 10, 310, Rcode::kNoError);
+  signatures.RemoveExpired(310);
+  CHECK(signatures.Find("m"));
+  signatures.RemoveExpired(311);
+  CHECK_FALSE(signatures.Find("m"));
+  CHECK_FALSE(signatures.IsTooOld(10));
+  for (std::size_t n = 0; n <= UpdateSignatureCache::kMaxEntries; ++n) {
+    signatures.Add(std::to_string(n), 100 + n, 400 + n, Rcode::kNoError);
   }
-  CHECK_FALSE(witnesses.Find("0"));
-  CHECK(witnesses.IsTooOld(100));
-  CHECK_FALSE(witnesses.IsTooOld(101));
+  CHECK_FALSE(signatures.Find("0"));
+  CHECK(signatures.IsTooOld(100));
+  CHECK_FALSE(signatures.IsTooOld(101));
 }
 
 class FullDisk : public MemoryZone {
  public:
   using MemoryZone::MemoryZone;
-  bool Commit(const Change&, const Witness*, std::string& why) override {
+  bool Commit(const Change&, const UpdateSignature*, std::string& why) override {
     why = "no space left";
     return false;
   }
--- a/tests/dns/store_test.cpp
+++ b/tests/dns/store_test.cpp
@@ -114,18 +114,18 @@
     ZoneStore store(folder.path(), kOrigin, {.compact_bytes = 700});
     if (start == 0) REQUIRE(store.Replace(First()));
     for (std::uint64_t n = 0; n < 10; ++n) {
-      const dns::Witness by{"mac" + std::to_string(start * 10 + n), 1000 + start * 10 + n};
+      const dns::UpdateSignature by{"mac" + std::to_string(start * 10 + n), 1000 + start * 10 + n};
       REQUIRE(store.Commit(Next(store.zone()), n % 2 == 0 ? &by : nullptr));
     }
-    REQUIRE(store.witnesses().size() == 5 * (start + 1));
+    REQUIRE(store.signatures().size() == 5 * (start + 1));
   }
   ZoneStore store(folder.path(), kOrigin, {});
-  REQUIRE(store.witnesses().size() == 20);
-  CHECK(store.witnesses().front().mac == "mac0");
-  CHECK(store.witnesses().back().signed_at == 1038);
-  const dns::Witness late{"late", 1000 + 2 * dns::kFudgeSeconds + 11};
+  REQUIRE(store.signatures().size() == 20);
+  CHECK(store.signatures().front().mac == "mac0");
+  CHECK(store.signatures().back().signed_at == 1038);
+  const dns::UpdateSignature late{"late", 1000 + 2 * dns::kFudgeSeconds + 11};
   REQUIRE(store.Commit(Next(store.zone()), &late));
-  CHECK(store.witnesses().front().mac == "mac12");
+  CHECK(store.signatures().front().mac == "mac12");
   CheckWhole(store.zone());
 }
 
@@ -197,7 +197,7 @@
     while (entries + 1 < ends.size() && ends[entries + 1] <= size) ++entries;
     ZoneStore store(folder.path(), kOrigin, {});
     REQUIRE(store.zone().serial() == 1 + entries);
-    REQUIRE(store.cut_bytes() == size - ends[entries]);
+    REQUIRE(store.truncated_bytes() == size - ends[entries]);
     CheckWhole(store.zone());
     REQUIRE(store.Commit(Next(store.zone())));
   }
@@ -262,7 +262,9 @@
     return -1;
   }
   int Synchronise(int fd) override { return Passes() ? Disk::Synchronise(fd) : Failed(); }
-  int Cut(int fd, std::size_t size) override { return Passes() ? Disk::Cut(fd, size) : Failed(); }
+  int Truncate(int fd, std::size_t size) override {
+    return Passes() ? Disk::Truncate(fd, size) : Failed();
+  }
   int Rename(const char* from, const char* to) override {
     return Passes() ? Disk::Rename(from, to) : Failed();
   }
@@ -340,7 +342,7 @@
   other.Add(Address(98));
   REQUIRE(store.Replace(other));  // the same serial with other data
   CHECK(store.zone().Holds(Address(98)));
-  CHECK_FALSE(store.zone().Since(6));
+  CHECK_FALSE(store.zone().ChangesSince(6));
   REQUIRE(store.Commit(Next(store.zone())));
 }
 
--- a/tests/dns/transfer_test.cpp
+++ b/tests/dns/transfer_test.cpp
@@ -65,7 +65,7 @@
   for (const auto& message : exchange.messages) {
     if (auto done = exchange.reader.Take(message, kNow)) return *std::move(done);
   }
-  return exchange.reader.CutShort("the end");
+  return exchange.reader.Interrupted("the end");
 }
 
 std::string WhyNot(const TransferResult& result) {
@@ -113,7 +113,7 @@
   ahead.rdata = WithSerial(ahead.rdata, zone.serial() + 9);
   Exchange newer = Begin(zone, ahead);
   CHECK(std::holds_alternative<UpToDate>(Run(newer)));
-  zone.Forget();
+  zone.ForgetChanges();
   Exchange forgotten = Begin(zone, past[20].Soa());
   CHECK(std::holds_alternative<FullZone>(Run(forgotten)));
 }
@@ -167,7 +167,7 @@
       if (n == 0 || (last && last_signed)) {
         bytes = server.Sign(bytes, kNow);
       } else {
-        server.PassUnsigned(bytes);
+        server.AddUnsigned(bytes);
       }
       done = reader.Take(bytes, kNow);
       REQUIRE(done.has_value() == last);
@@ -223,7 +223,7 @@
   TransferReader reader(kOrigin, Soa(4), 99, std::nullopt);
   const auto done = reader.Take(Encode(refusal), kNow);
   REQUIRE(done);
-  CHECK(std::get<ValidationError>(*done).by_changes);
+  CHECK(std::get<ValidationError>(*done).ixfr_unsupported);
   TransferReader bounded(kOrigin, std::nullopt, 99, std::nullopt, 3);
   Message much = ReplyTo(TransferRequest(kOrigin, std::nullopt, 99), Rcode::kNoError);
   much.answer = {Soa(1), not_ns, a, a};
@@ -235,48 +235,48 @@
 
 TEST_CASE("the follower asks by the SOA's timers") {
   ZoneTransferSession follower(0);
-  CHECK(follower.Due(0) == Step::kTransfer);  // nothing is held: no question first
-  CHECK(follower.Due(0) == Step::kNothing);
-  follower.Failed(1);
-  CHECK(follower.Due(1) == Step::kNothing);
-  CHECK(follower.NextDue() == 1 + ZoneTransferSession::kFirstRetry);
-  CHECK(follower.Due(2) == Step::kTransfer);
-  follower.Took(7, kTimers, 3);
-  CHECK(follower.NextDue() == 23);
-  CHECK(follower.Due(22.9) == Step::kNothing);
-  CHECK(follower.Due(23) == Step::kAskSerial);
-  follower.SerialIs(7, 23.5);
-  CHECK(follower.NextDue() == 43.5);
-  CHECK(follower.Due(43.5) == Step::kAskSerial);
-  follower.Failed(44);
-  CHECK(follower.Due(48.9) == Step::kNothing);
-  CHECK(follower.Due(49) == Step::kAskSerial);
-  follower.SerialIs(8, 49);
-  CHECK(follower.Due(49) == Step::kTransfer);
-  follower.Failed(50);  // half a transfer
+  CHECK(follower.NextStep(0) == Step::kTransfer);  // nothing is held: no question first
+  CHECK(follower.NextStep(0) == Step::kNothing);
+  follower.OnFailure(1);
+  CHECK(follower.NextStep(1) == Step::kNothing);
+  CHECK(follower.NextStepTime() == 1 + ZoneTransferSession::kFirstRetry);
+  CHECK(follower.NextStep(2) == Step::kTransfer);
+  follower.OnTransferred(7, kTimers, 3);
+  CHECK(follower.NextStepTime() == 23);
+  CHECK(follower.NextStep(22.9) == Step::kNothing);
+  CHECK(follower.NextStep(23) == Step::kQuerySerial);
+  follower.OnSerial(7, 23.5);
+  CHECK(follower.NextStepTime() == 43.5);
+  CHECK(follower.NextStep(43.5) == Step::kQuerySerial);
+  follower.OnFailure(44);
+  CHECK(follower.NextStep(48.9) == Step::kNothing);
+  CHECK(follower.NextStep(49) == Step::kQuerySerial);
+  follower.OnSerial(8, 49);
+  CHECK(follower.NextStep(49) == Step::kTransfer);
+  follower.OnFailure(50);  // half a transfer
   CHECK(follower.serial() == 7);
-  CHECK(follower.Due(55) == Step::kAskSerial);
-  follower.SerialIs(8, 55);
-  CHECK(follower.Due(55) == Step::kTransfer);
-  follower.Took(8, kTimers, 56);
+  CHECK(follower.NextStep(55) == Step::kQuerySerial);
+  follower.OnSerial(8, 55);
+  CHECK(follower.NextStep(55) == Step::kTransfer);
+  follower.OnTransferred(8, kTimers, 56);
   CHECK(follower.serial() == 8);
 }
 
 TEST_CASE("a primary that goes quiet or back in serials: the zone expires, and comes back") {
   ZoneTransferSession follower(0);
-  follower.Start(7, kTimers, 0, 0);
+  follower.Restore(7, kTimers, 0, 0);
   double now = 0;
   bool expired = false;
   int asked = 0;
   while (now < 200 && !expired) {
-    now = std::max(now, follower.NextDue());
-    const Step step = follower.Due(now);
-    if (step == Step::kAskSerial) {
+    now = std::max(now, follower.NextStepTime());
+    const Step step = follower.NextStep(now);
+    if (step == Step::kQuerySerial) {
       ++asked;
       if (asked % 2 == 0) {
-        follower.SerialIs(6, now);
+        follower.OnSerial(6, now);
       } else {
-        follower.Failed(now);
+        follower.OnFailure(now);
       }
     }
     expired = step == Step::kExpire;
@@ -285,44 +285,44 @@
   CHECK(now == 100);
   CHECK(asked == 20);
   CHECK(follower.expired());
-  now = follower.NextDue();
-  CHECK(follower.Due(now) == Step::kAskSerial);
-  follower.SerialIs(7, now);
+  now = follower.NextStepTime();
+  CHECK(follower.NextStep(now) == Step::kQuerySerial);
+  follower.OnSerial(7, now);
   CHECK_FALSE(follower.expired());
 }
 
 TEST_CASE("what was kept counts from when it was confirmed, and is asked about at once") {
   ZoneTransferSession follower(50);
-  follower.Start(7, kTimers, 90, 50);
-  CHECK(follower.Due(50) == Step::kAskSerial);
-  CHECK(follower.NextDue() == 60);
-  CHECK(follower.Due(60) == Step::kExpire);
+  follower.Restore(7, kTimers, 90, 50);
+  CHECK(follower.NextStep(50) == Step::kQuerySerial);
+  CHECK(follower.NextStepTime() == 60);
+  CHECK(follower.NextStep(60) == Step::kExpire);
 }
 
 TEST_CASE("notices: at once, one at a time, and no more than five a second") {
   ZoneTransferSession follower(0);
-  follower.Start(7, kTimers, 0, 0);
-  CHECK(follower.Due(0) == Step::kAskSerial);
-  follower.SerialIs(7, 0);
-  follower.Notified(7, 5);  // it is held already
-  CHECK(follower.NextDue() == 20);
-  follower.Notified(8, 5);
-  CHECK(follower.Due(5) == Step::kAskSerial);
-  follower.Notified(9, 5.01);  // while the question is out: once more after it
-  follower.Notified(10, 5.02);
-  follower.SerialIs(8, 5.05);
-  CHECK(follower.Due(5.05) == Step::kTransfer);
-  follower.Took(8, kTimers, 5.1);
-  CHECK(follower.NextDue() == doctest::Approx(5.2));
-  CHECK(follower.Due(5.2) == Step::kAskSerial);
-  follower.SerialIs(8, 5.21);
-  CHECK(follower.NextDue() == 25.21);
+  follower.Restore(7, kTimers, 0, 0);
+  CHECK(follower.NextStep(0) == Step::kQuerySerial);
+  follower.OnSerial(7, 0);
+  follower.OnNotify(7, 5);  // it is held already
+  CHECK(follower.NextStepTime() == 20);
+  follower.OnNotify(8, 5);
+  CHECK(follower.NextStep(5) == Step::kQuerySerial);
+  follower.OnNotify(9, 5.01);  // while the question is out: once more after it
+  follower.OnNotify(10, 5.02);
+  follower.OnSerial(8, 5.05);
+  CHECK(follower.NextStep(5.05) == Step::kTransfer);
+  follower.OnTransferred(8, kTimers, 5.1);
+  CHECK(follower.NextStepTime() == doctest::Approx(5.2));
+  CHECK(follower.NextStep(5.2) == Step::kQuerySerial);
+  follower.OnSerial(8, 5.21);
+  CHECK(follower.NextStepTime() == 25.21);
   int asked = 0;
   for (double now = 30; now < 31; now += 0.001) {
-    follower.Notified(std::nullopt, now);
-    if (follower.Due(now) == Step::kAskSerial) {
+    follower.OnNotify(std::nullopt, now);
+    if (follower.NextStep(now) == Step::kQuerySerial) {
       ++asked;
-      follower.SerialIs(8, now);
+      follower.OnSerial(8, now);
     }
   }
   CHECK(asked <= 6);
@@ -331,11 +331,11 @@
 
 TEST_CASE("round the end of serials, and SOA timers within limits") {
   ZoneTransferSession follower(0);
-  follower.Start(0xffffffff, kTimers, 0, 0);
-  CHECK(follower.Due(0) == Step::kAskSerial);
-  follower.SerialIs(1, 0);
-  CHECK(follower.Due(0) == Step::kTransfer);
-  follower.Took(1, kTimers, 0);
+  follower.Restore(0xffffffff, kTimers, 0, 0);
+  CHECK(follower.NextStep(0) == Step::kQuerySerial);
+  follower.OnSerial(1, 0);
+  CHECK(follower.NextStep(0) == Step::kTransfer);
+  follower.OnTransferred(1, kTimers, 0);
   CHECK(follower.serial() == 1);
   std::string soa = Name().wire() + Name().wire();
   for (const unsigned n : {1u, 0u, 0u, 0u, 0u}) Put32(soa, n);
--- a/tests/dns/tsig_test.cpp
+++ b/tests/dns/tsig_test.cpp
@@ -35,7 +35,7 @@
     TsigSession server(SomeKey(algorithm));
     const std::string plain = Encode(Query());
     const std::string request = client.Sign(plain, kNow);
-    CHECK(request.size() <= plain.size() + client.MostBytes());
+    CHECK(request.size() <= plain.size() + client.MaxTsigBytes());
     CHECK(Checked(server, request) == TsigError::kNone);
     CHECK(server.signed_at() == kNow);
     const std::string answer = server.Sign(Encode(ReplyTo(Query(), Rcode::kNoError)), kNow);
--- a/tests/dns/update_test.cpp
+++ b/tests/dns/update_test.cpp
@@ -296,7 +296,7 @@
   REQUIRE(past.size() > 100);
   for (std::size_t n = 0; n < past.size(); n += 7) {
     Zone from = past[n];
-    const auto changes = zone.Since(from.serial());
+    const auto changes = zone.ChangesSince(from.serial());
     REQUIRE(changes);
     for (const Change* change : *changes) REQUIRE(from.Apply(*change));
     CHECK(from.serial() == zone.serial());
@@ -308,16 +308,16 @@
     if (n + 1 < past.size()) REQUIRE(at_once.Apply(whole));
     CHECK(Difference(at_once, zone).added.size() == 1);
   }
-  CHECK_FALSE(zone.Since(4711));
+  CHECK_FALSE(zone.ChangesSince(4711));
   Change wrong{{zone.Soa(), Line("never IN 1 A 1.1.1.1")}, {zone.Soa()}};
   const std::string before = Text(zone);
   CHECK_FALSE(zone.Apply(wrong));
   CHECK(Text(zone) == before);
-  zone.RememberAtMost(3);
+  zone.LimitChangeRecords(3);
   const auto small = Outcome(zone, {{}, {"z IN 1 A 1.1.1.1"}});
   REQUIRE(zone.Apply(*small.change));
-  CHECK(zone.Since(small.change->from()));
-  CHECK_FALSE(zone.Since(past[past.size() - 2].serial()));
+  CHECK(zone.ChangesSince(small.change->from()));
+  CHECK_FALSE(zone.ChangesSince(past[past.size() - 2].serial()));
 }
 
 }  // namespace
--- a/tests/dns/wire_test.cpp
+++ b/tests/dns/wire_test.cpp
@@ -288,7 +288,7 @@
 TEST_CASE("a stream of messages in any cuts") {
   std::string stream;
   for (int n = 0; n < 20; ++n)
-    stream += InStream(std::string(static_cast<std::size_t>(n * 7), 'm'));
+    stream += WithLengthPrefix(std::string(static_cast<std::size_t>(n * 7), 'm'));
   for (std::uint32_t seed = 0; seed < testing::kRounds; ++seed) {
     StreamReader reader;
     testing::InCuts(stream, seed, [&reader](std::string_view part) { reader.Feed(part); });
