--- a/src/dns/message.cpp
+++ b/src/dns/message.cpp
@@ -10,8 +10,8 @@
 constexpr std::size_t kHeaderBytes = 12;
 constexpr std::size_t kMaxPointer = 0x3fff;
 
-// Reads from a whole message. After the first thing that is not there, all that follows is zero
-// and good() is false.
+// Parses a complete message. After the first error good() is false and all further reads return
+// zero or empty values.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
@@ -41,7 +41,7 @@
     return good() ? Get32(bytes, 0) : 0;
   }
 
-  // A name; with compression (RFC 1035 §4.1.4) where `pointers` allows it.
+  // Reads a name; compression (RFC 1035 §4.1.4) is accepted if `pointers` is true.
   Name TakeName(bool pointers) {
     std::string wire;
     NameCursor cursor{at_, at_, false};
@@ -69,7 +69,7 @@
 
   struct NameCursor {
     std::size_t at;
-    std::size_t start;  // of the labels that are being read; a pointer goes before them
+    std::size_t start;  // start of the current run of labels; a pointer must point before it
     bool jumped;
   };
 
@@ -79,7 +79,7 @@
     }
     const std::size_t target = Get16(bytes_, cursor.at) & kMaxPointer;
     if (!cursor.jumped) at_ = cursor.at + 2;
-    // The header's counts change when a message is signed; a name there would change with them.
+    // A name in the header would change when signing the message changes the record counts.
     if (target >= cursor.start || target < kHeaderBytes) {
       return Fail(target < cursor.start ? "a name points into the header"
                                         : "a name points forward or at itself");
@@ -101,7 +101,7 @@
   const char* why_ = nullptr;
 };
 
-// RDATA with its names written in full.
+// Reads RDATA and returns it with its names uncompressed.
 std::string TakeRdata(Reader& reader, std::uint16_t type, std::size_t length) {
   const TypeInfo* info = InfoOf(type);
   const std::size_t end = reader.at() + length;
@@ -147,7 +147,8 @@
   record.klass = static_cast<std::uint16_t>(reader.Number16());
   record.ttl = reader.Number32();
   const std::size_t length = reader.Number16();
-  // An update says "all of this type" and the like by records without data (RFC 2136 §2.4, §2.5).
+  // In an update, records without data stand for "all of this type" and similar (RFC 2136 §2.4,
+  // §2.5).
   const bool empty = length == 0 && update && record.klass != klass::kIn;
   if (reader.good() && !empty) record.rdata = TakeRdata(reader, record.type, length);
   return record;
@@ -227,11 +228,11 @@
   return out + edns.options;
 }
 
-// Of the questions, answers, authority and additional records, as the header has them.
+// Numbers of questions, answer, authority and additional records, in the order of the header.
 using SectionCounts = std::array<std::uint32_t, 4>;
 constexpr std::size_t kRecordSections = 3;
 
-// The id and the flags, which are returned as they stand too.
+// Reads the ID and the flags into the message; returns the raw flags as well.
 std::uint32_t TakeHeader(Reader& reader, Message& message) {
   message.id = static_cast<std::uint16_t>(reader.Number16());
   const std::uint32_t flags = reader.Number16();
@@ -255,7 +256,7 @@
   }
 }
 
-// RFC 6891 §6.1.1: one, of the root, in the additional section.
+// RFC 6891 §6.1.1: at most one OPT, owned by the root, in the additional section.
 void TakeOpt(Reader& reader, const Record& opt, bool additional, std::uint32_t flags,
              Message& message) {
   if (!additional || message.edns || !opt.name.IsRoot()) {
@@ -299,7 +300,7 @@
   if (rcode < kTexts.size()) return kTexts[rcode];
   switch (rcode) {
     case 16:
-      return "BADVERS/BADSIG";  // by whether OPT or TSIG has it
+      return "BADVERS/BADSIG";  // BADVERS in an OPT, BADSIG in a TSIG
     case 17:
       return "BADKEY";
     case 18:
--- a/src/dns/message.hpp
+++ b/src/dns/message.hpp
@@ -1,9 +1,10 @@
-// DNS messages (RFC 1035 §4, EDNS(0) RFC 6891, updates RFC 2136 §2): bytes to messages and back.
+// Encoding and decoding of DNS messages (RFC 1035 §4, EDNS(0) RFC 6891, updates RFC 2136 §2).
 //
-// A stream's framing (RFC 1035 §4.2.2) is a state machine that takes any cut of the bytes; a
-// message is decoded when it is all there, since names point back into it. A pointer must point
-// before the labels that lead to it, so that no name goes round in a circle, and a name ends at
-// 255 bytes: what a message costs is bounded by its length.
+// The framing of a stream (RFC 1035 §4.2.2) is parsed by a state machine that accepts the bytes in
+// chunks of any size. A message is decoded only when it is complete, since its names may point back
+// into it. A compression pointer must point before the labels that precede it, so that a name
+// cannot form a loop, and a name has at most 255 bytes. The cost of decoding a message is therefore
+// bounded by its length.
 #ifndef BRASSFRONT_DNS_MESSAGE_HPP_
 #define BRASSFRONT_DNS_MESSAGE_HPP_
 
@@ -21,7 +22,7 @@
 
 inline constexpr std::size_t kMaxMessageBytes = 65535;
 inline constexpr std::size_t kPlainUdpBytes = 512;
-// What UDP carries without being cut up on any usual path (DNS flag day 2020).
+// Largest UDP payload that is not fragmented on any usual path (DNS flag day 2020).
 inline constexpr std::size_t kUdpBytes = 1232;
 
 enum class Opcode : std::uint8_t { kQuery = 0, kNotify = 4, kUpdate = 5 };
@@ -57,18 +58,18 @@
   std::uint32_t ttl = 0;
   std::string rdata;
 
-  // Owner, TTL, class, type and RDATA in a zone file's form.
+  // Returns owner, TTL, class, type and RDATA in zone file format.
   [[nodiscard]] std::string ToText() const;
 };
-// Name, type and RDATA, whatever the TTL and the case of names.
+// Compares name, type and RDATA; ignores the TTL and the case of names.
 bool SameData(const Record& a, const Record& b);
 
-// The OPT record's fields (RFC 6891 §6.1).
+// Fields of the OPT record (RFC 6891 §6.1).
 struct Edns {
   std::uint16_t udp_bytes = kUdpBytes;
   std::uint8_t version = 0;
   bool dnssec_ok = false;
-  std::string options;  // as they came
+  std::string options;  // undecoded
 };
 
 struct Message {
@@ -79,45 +80,48 @@
   bool truncated = false;
   bool recursion_desired = false;
   bool recursion_available = false;
-  Rcode rcode = Rcode::kNoError;   // with EDNS's upper eight bits
-  std::vector<Question> question;  // an update's zone
-  std::vector<Record> answer;      // prerequisites
-  std::vector<Record> authority;   // the update itself
+  Rcode rcode = Rcode::kNoError;   // includes the upper eight bits from EDNS
+  std::vector<Question> question;  // in an update: the zone
+  std::vector<Record> answer;      // in an update: the prerequisites
+  std::vector<Record> authority;   // in an update: the records to add and delete
   std::vector<Record> additional;  // without OPT and TSIG
   std::optional<Edns> edns;
-  std::optional<Record> tsig;  // the last record, if it is one (RFC 8945 §5.1)
-  std::size_t tsig_at = 0;     // where it starts in the bytes
+  std::optional<Record> tsig;  // always the last record of a signed message (RFC 8945 §5.1)
+  std::size_t tsig_at = 0;     // byte offset of the TSIG record in the message
 };
 
 struct Decoded {
   std::optional<Message> message;
-  // Where there is no message: what to answer, from the header alone. Nothing if not even a header
-  // came, or what came is a response: that is never answered.
+  // If decoding failed: the reply to send, built from the header alone. Empty if not even the
+  // header is complete, or if the message is a response, which is never answered.
   std::optional<Message> refusal;
   std::string why;
 };
 Decoded Decode(std::string_view bytes);
 
-// At most `limit` bytes, to which OPT belongs and a TSIG does not. What does not fit is left out:
-// of the additional section record by record; of the others with TC set (RFC 2181 §9).
+// Encodes at most `limit` bytes, which include the OPT record but not a TSIG. Records that do not
+// fit are left out: from the additional section without a mark, from the other sections with TC set
+// (RFC 2181 §9).
 std::string Encode(const Message& message, std::size_t limit = kMaxMessageBytes);
 
-// An answer's start: the request's identity, opcode, question and RD, and EDNS if it had that.
+// Returns an empty reply with the ID, opcode, question and RD bit of the request, and with EDNS if
+// the request had it.
 Message ReplyTo(const Message& request, Rcode rcode);
 
-// Messages out of a stream, each with two bytes of length before it.
+// Splits a stream into messages; each is preceded by its length in two bytes.
 class StreamReader {
  public:
   void Feed(std::string_view bytes);
   std::deque<std::string>& messages() { return messages_; }
-  // Nothing of a further message has come.
+  // True if no part of a further message has been received.
   [[nodiscard]] bool between_messages() const { return pending_.empty(); }
 
  private:
-  std::string pending_;  // a length, and what has come of its message
+  std::string pending_;  // the length prefix and the part of its message received so far
   std::deque<std::string> messages_;
 };
-std::string WithLengthPrefix(std::string_view message);  // with its length before it
+// Returns the message preceded by its length, as a stream carries it.
+std::string WithLengthPrefix(std::string_view message);
 
 }  // namespace brassfront::dns
 
--- a/src/dns/name.cpp
+++ b/src/dns/name.cpp
@@ -8,7 +8,7 @@
 
 bool IsDigit(char c) { return c >= '0' && c <= '9'; }
 
-// The byte that an escape stands for; `at` is at its backslash, and after it in the end.
+// Decodes the escape whose backslash is at `at`, and moves `at` past the escape.
 std::optional<char> TakeEscape(std::string_view text, std::size_t& at) {
   if (at + 1 >= text.size()) return std::nullopt;
   if (!IsDigit(text[at + 1])) {
@@ -153,7 +153,8 @@
 }
 
 std::string Name::Key() const {
-  // Each label ends in a zero; bytes 0 and 1 are written as 1 and 1 or 2, which keeps the order.
+  // Each label ends in a zero byte. The bytes 0 and 1 within a label are encoded as 1 1 and 1 2,
+  // which preserves the order.
   std::string key;
   key.reserve(wire_.size());
   const auto labels = Labels();
@@ -174,7 +175,7 @@
 
 Name Name::Lower() const {
   std::string wire = wire_;
-  for (char& c : wire) c = LowerOf(c);  // a length is at most 63, and no letter
+  for (char& c : wire) c = LowerOf(c);  // a length byte is at most 63, thus never a letter
   return Name(std::move(wire));
 }
 
--- a/src/dns/rdata.cpp
+++ b/src/dns/rdata.cpp
@@ -29,7 +29,7 @@
     {type::kHttps, "HTTPS", {kU16, kStrictName, kSvcParams}},
 });
 
-// Mnemonics of what is asked for or signed, but holds no data of a zone.
+// Mnemonics of query and meta types, which are not part of the data of a zone.
 using Mnemonic = std::pair<std::uint16_t, const char*>;
 constexpr auto kOtherTypes = std::to_array<Mnemonic>({{type::kOpt, "OPT"},
                                                       {type::kTsig, "TSIG"},
@@ -94,7 +94,7 @@
   return key < kSvcKeys.size() ? kSvcKeys[key] : "key" + std::to_string(key);
 }
 
-// At commas; one with a backslash before it is part of a value, as is a backslash so (A.1).
+// Splits at commas. `\,` and `\\` stand for a comma and a backslash within a value (RFC 9460 A.1).
 std::vector<std::string> CommaList(std::string_view text) {
   std::vector<std::string> parts(1);
   for (std::size_t at = 0; at < text.size(); ++at) {
@@ -108,7 +108,7 @@
   return parts;
 }
 
-// The keys that a client must know, in their order (RFC 9460 §8).
+// Encodes the keys that a client must support, sorted (RFC 9460 §8).
 std::optional<std::string> MandatoryFromText(const std::string& text) {
   std::vector<std::uint16_t> keys;
   for (const auto& part : CommaList(text)) {
@@ -156,7 +156,7 @@
   }
 }
 
-// Whether a value's bytes are what its key may have.
+// True if the bytes are a valid value of the key.
 bool IsSvcValue(std::uint16_t key, std::string_view value) {
   switch (key) {
     case kMandatory: {
@@ -189,7 +189,7 @@
   }
 }
 
-// Calls `take(key, value)` for each; false if the bytes are not well-formed.
+// Calls `take(key, value)` for each parameter; returns false if the bytes are malformed.
 template <typename Take>
 bool EachSvcParam(std::string_view bytes, Take take) {
   std::int32_t last = -1;
@@ -307,9 +307,10 @@
   return out;
 }
 
-// ======== the fields ========
+// ======== fields of RDATA ========
 
-// How long the field is that starts the bytes; nothing if it is not all there or not well-formed.
+// Returns the length of the field at the start of the bytes; nullopt if it is incomplete or
+// malformed.
 std::optional<std::size_t> LengthOf(Field field, std::string_view bytes) {
   const auto fixed = [&](std::size_t length) {
     return bytes.size() >= length ? std::optional(length) : std::nullopt;
@@ -342,7 +343,8 @@
 
 bool IsName(Field field) { return field == kName || field == kPlainName || field == kStrictName; }
 
-// Calls `take(field, bytes)` for each field; false where the bytes are not the type's.
+// Calls `take(field, bytes)` for each field; returns false if the bytes are not valid RDATA of the
+// type.
 template <typename Take>
 bool EachField(const TypeInfo& info, std::string_view rdata, Take take) {
   for (const Field* field = info.fields.data(); *field != kEnd; ++field) {
@@ -354,7 +356,7 @@
   return rdata.empty();
 }
 
-// Character-strings up to the end (RFC 1035 §3.3).
+// Parses all remaining tokens as character-strings (RFC 1035 §3.3).
 std::optional<std::string> StringsFromText(std::span<const Token>& tokens, std::string& why,
                                            std::size_t& at_token) {
   std::string out;
@@ -383,7 +385,7 @@
   return value;
 }
 
-// A field that is one token.
+// Parses a field that consists of one token.
 std::optional<std::string> WordFromText(Field field, const std::string& text, const Name& origin,
                                         std::string& why) {
   if (IsName(field)) {
@@ -398,7 +400,7 @@
   return NumberFromText(field, text, why);
 }
 
-// The field that the tokens start with; takes as many as it needs.
+// Parses the field at the start of the tokens and removes its tokens.
 std::optional<std::string> FieldFromText(Field field, std::span<const Token>& tokens,
                                          const Name& origin, std::string& why,
                                          std::size_t& at_token) {
@@ -418,7 +420,7 @@
   return value;
 }
 
-// `\# LENGTH HEX...` (RFC 3597 §5), which any type may be given as.
+// Parses `\# LENGTH HEX...` (RFC 3597 §5), a form that is valid for every type.
 std::optional<std::string> UnknownFromText(std::span<const Token> tokens, std::string& why,
                                            std::size_t& at_token) {
   const auto length =
--- a/src/dns/rdata.hpp
+++ b/src/dns/rdata.hpp
@@ -1,6 +1,6 @@
-// What records hold, by type. RDATA is kept in wire form without compression; one table of the
-// types' fields says how it is read, written, printed, checked and compared. A type that is not in
-// the table is kept as the bytes that came (RFC 3597).
+// RDATA of the record types. RDATA is stored in wire format without compression. One table lists
+// the fields of each type and determines how its RDATA is parsed, encoded, printed, validated and
+// compared. RDATA of a type that is not in the table is stored as opaque bytes (RFC 3597).
 #ifndef BRASSFRONT_DNS_RDATA_HPP_
 #define BRASSFRONT_DNS_RDATA_HPP_
 
@@ -19,7 +19,8 @@
 
 namespace brassfront::dns {
 
-// RFC 1035 §3.2.2, and where each was added. A type need not be one of these.
+// Type numbers of RFC 1035 §3.2.2 and of the later RFCs that added types. Other type numbers are
+// valid as well.
 namespace type {
 inline constexpr std::uint16_t kA = 1, kNs = 2, kCname = 5, kSoa = 6, kPtr = 12, kMx = 15,
                                kTxt = 16, kAaaa = 28, kSrv = 33, kOpt = 41, kSvcb = 64, kHttps = 65,
@@ -33,15 +34,15 @@
 enum class Field : std::uint8_t {
   kEnd,
   kName,        // compressed where RFC 1035 defines the type
-  kPlainName,   // written in full; read with compression (RFC 3597 §4)
-  kStrictName,  // no compression either way (RFC 9460 §2.2)
+  kPlainName,   // written uncompressed; compression is accepted (RFC 3597 §4)
+  kStrictName,  // never compressed (RFC 9460 §2.2)
   kU16,
   kU32,
-  kSeconds,  // 32 bits; `1h30m` will do in text
+  kSeconds,  // 32 bits; the text form may have units such as `1h30m`
   kIpv4,
   kIpv6,
-  kStrings,    // one character-string or more, up to the end
-  kSvcParams,  // up to the end (RFC 9460 §2.1)
+  kStrings,    // one or more character-strings, up to the end of the RDATA
+  kSvcParams,  // up to the end of the RDATA (RFC 9460 §2.1)
 };
 
 struct TypeInfo {
@@ -50,17 +51,18 @@
   std::array<Field, 8> fields;  // ends in kEnd
 };
 
-// Nothing for a type that has no fields known here.
+// Returns null for a type that is not in the table.
 const TypeInfo* InfoOf(std::uint16_t type);
-// A mnemonic in any case, or TYPE123 (RFC 3597 §5).
+// Parses a mnemonic in any case, or TYPE123 (RFC 3597 §5).
 std::optional<std::uint16_t> TypeFromText(std::string_view text);
 std::string TypeText(std::uint16_t type);
-// True for what may be in a zone: not OPT, TSIG, a transfer or ANY (RFC 6895 §3.1).
+// True for types of records that a zone may contain: not OPT, TSIG, AXFR, IXFR or ANY
+// (RFC 6895 §3.1).
 bool IsDataType(std::uint16_t type);
-// IN, CH, HS, NONE, ANY or CLASS123.
+// Parses IN, CH, HS, NONE, ANY or CLASS123.
 std::optional<std::uint16_t> ClassFromText(std::string_view text);
 std::string ClassText(std::uint16_t klass);
-// All of the text as a number, without a sign. Nothing if it is not one, or too large.
+// Parses the entire text as an unsigned number. Returns nullopt if it is not one, or too large.
 template <typename Number>
 std::optional<Number> ParseUnsigned(std::string_view text) {
   static_assert(std::is_unsigned_v<Number>);
@@ -70,10 +72,11 @@
   if (error != std::errc() || stop != end) return std::nullopt;
   return value;
 }
-// Seconds, or with units as in `1h30m` or `2W`. Nothing beyond 2^31 - 1 (RFC 2181 §8).
+// Parses a number of seconds, or a time with units such as `1h30m` or `2W`. Returns nullopt above
+// 2^31 - 1 (RFC 2181 §8).
 std::optional<std::uint32_t> SecondsFromText(std::string_view text);
 
-// A token of a zone file with its escapes still in it.
+// A token of a zone file; its escapes are not decoded yet.
 struct Token {
   std::string text;
   bool quoted = false;
@@ -81,25 +84,26 @@
   std::size_t column = 0;
 };
 
-// Nothing, why, and at which token (its place, or the number of tokens where one more was
-// expected).
+// Parses the RDATA of a record. On failure returns nullopt, and sets `why` and `at_token`, which is
+// the index of the wrong token, or the number of tokens if one more was expected.
 std::optional<std::string> RdataFromText(std::uint16_t type, std::span<const Token> tokens,
                                          const Name& origin, std::string& why,
                                          std::size_t& at_token);
 std::string RdataText(std::uint16_t type, std::string_view rdata);
 
-// Whether there are names in what the type holds.
+// True if RDATA of the type contains domain names.
 bool HasNames(std::uint16_t type);
-// True if the bytes are what a record of the type may hold.
+// True if the bytes are valid RDATA of the type.
 bool IsRdata(std::uint16_t type, std::string_view rdata);
-// With the names in it in small letters: what is equal so is the same record (RFC 4034 §6.2).
+// Returns the RDATA with its names in lower case. Records with equal canonical RDATA are the same
+// record (RFC 4034 §6.2).
 std::string CanonicalRdata(std::uint16_t type, std::string_view rdata);
-// The n-th field of RDATA that IsRdata takes; the view is into it.
+// Returns the n-th field of RDATA that is valid by IsRdata, as a view into `rdata`.
 std::string_view FieldOf(std::uint16_t type, std::string_view rdata, std::size_t n);
 Name NameField(std::uint16_t type, std::string_view rdata, std::size_t n);
 std::uint32_t NumberField(std::uint16_t type, std::string_view rdata, std::size_t n);
 
-// The fields of a SOA (RFC 1035 §3.3.13) by their numbers.
+// Field numbers in the RDATA of a SOA (RFC 1035 §3.3.13).
 namespace soa {
 inline constexpr std::size_t kSerial = 2, kRefresh = 3, kRetry = 4, kExpire = 5, kMinimum = 6;
 }  // namespace soa
@@ -108,7 +112,7 @@
 
 using signing::FromBase64;
 
-// Numbers in network order.
+// Big-endian numbers.
 void Put16(std::string& out, std::uint32_t value);
 void Put32(std::string& out, std::uint32_t value);
 std::uint32_t Get16(std::string_view bytes, std::size_t at);
--- a/src/dns/transfer.cpp
+++ b/src/dns/transfer.cpp
@@ -8,10 +8,11 @@
 namespace brassfront::dns {
 namespace {
 
-// Of one message: small enough to be worked on in one piece, large enough to compress well.
+// Maximum uncompressed size of the records in one message: small enough to be processed at once,
+// large enough to compress well.
 constexpr std::size_t kMaxTransferMessageBytes = std::size_t{16} * 1024;
 
-// Cuts a stream of records into messages.
+// Splits a sequence of records into messages.
 class MessageWriter {
  public:
   MessageWriter(const Message& request, TsigSession* session, std::uint64_t now)
@@ -53,7 +54,8 @@
   std::vector<std::string> messages_;
 };
 
-// What a transfer has beside the SOA: nothing, the changes since a serial, or the whole zone.
+// What a transfer contains in addition to the SOA: nothing, the changes since a serial, or the full
+// zone.
 struct TransferContent {
   bool soa_only = false;
   std::optional<std::vector<const Change*>> changes;
@@ -99,7 +101,7 @@
   if (stream) return WriteTransfer(zone, request, content, session, now);
   const std::size_t room =
       limit - std::min(limit, session != nullptr ? session->MaxTsigBytes() : 0);
-  // The whole zone is not even tried in a datagram.
+  // A full zone is never sent in a datagram.
   if (!content.soa_only && content.changes) {
     auto tried = WriteTransfer(zone, request, content, nullptr, now);
     if (tried.size() == 1 && tried[0].size() <= room) {
@@ -187,7 +189,7 @@
   return SerialOf(record.rdata) == SerialOf(soa_.rdata);
 }
 
-// The second record tells a transfer of changes from one of the whole zone (RFC 1995 §4).
+// The second record distinguishes an incremental transfer from a full one (RFC 1995 §4).
 std::optional<ValidationError> TransferReader::TakeSecondRecord(Record record) {
   if (record.type == type::kSoa && have_ && !IsNewestSoa(record)) {
     if (SerialOf(record.rdata) != *have_) return Bad("its changes begin at another serial");
@@ -246,7 +248,7 @@
       (SerialOf(soa_.rdata) == *have_ || IsNewer(*have_, SerialOf(soa_.rdata)))) {
     return UpToDate{};
   }
-  // By UDP the SOA alone means "come by TCP"; there is no more to wait for on a stream either.
+  // A SOA alone means "retry over TCP" if it was received by UDP. On a stream nothing follows it.
   if (state_ != State::kDone) return std::nullopt;
   if (session_ && !message.tsig) return Bad("its last message is not signed");
   if (!changes_.empty()) return Changes{std::move(changes_)};
--- a/src/dns/transfer.hpp
+++ b/src/dns/transfer.hpp
@@ -1,6 +1,6 @@
-// Zone transfers, whole (AXFR, RFC 5936) and by changes (IXFR, RFC 1995): the messages that a
-// primary sends, and the state machine that takes them. What was taken is handed over at its end
-// alone: half a transfer comes to nothing.
+// Zone transfers, full (AXFR, RFC 5936) and incremental (IXFR, RFC 1995): the messages that a
+// primary sends, and the state machine with which a secondary receives them. The result is returned
+// only at the end of the transfer: an incomplete transfer has no effect.
 #ifndef BRASSFRONT_DNS_TRANSFER_HPP_
 #define BRASSFRONT_DNS_TRANSFER_HPP_
 
@@ -17,41 +17,44 @@
 
 namespace brassfront::dns {
 
-// The asker's serial in an IXFR request (its SOA in the authority section); nothing if none.
+// Returns the client's serial from the SOA in the authority section of an IXFR request; nullopt if
+// there is none.
 std::optional<std::uint32_t> ClientSerial(const Message& request);
 
-// All messages of the answer, signed if a session is given. An IXFR from a serial that is not
-// remembered, and an AXFR, get the whole zone. `stream` is false for UDP, where what does not fit
-// into `limit` bytes is answered by the SOA alone: the asker comes again by TCP (RFC 1995 §2).
+// Returns all messages of the answer, signed if a session is given. An AXFR, and an IXFR from a
+// serial whose changes are no longer stored, are answered with the full zone. `stream` is false for
+// UDP, where an answer that does not fit into `limit` bytes is replaced by the SOA alone: the
+// client then retries over TCP (RFC 1995 §2).
 std::vector<std::string> TransferAnswer(const Zone& zone, const Message& request, bool stream,
                                         std::size_t limit, TsigSession* session, std::uint64_t now);
 
-// The request for a transfer: for IXFR with the SOA that the asker has.
+// Returns the request for a transfer: an IXFR if the client has a SOA, else an AXFR.
 Message TransferRequest(const Name& zone, const std::optional<Record>& have, std::uint16_t id);
 
-// What a transfer came to.
+// Outcomes of a transfer.
 struct FullZone {
   Zone zone;
 };
 struct Changes {
-  std::vector<Change> changes;  // in order; the first starts at the asker's serial
+  std::vector<Change> changes;  // in order; the first starts at the client's serial
 };
 struct UpToDate {};
 struct ValidationError {
   std::string why;
-  bool ixfr_unsupported = false;  // the primary cannot do IXFR: an AXFR may do
+  bool ixfr_unsupported = false;  // the primary does not support IXFR; an AXFR may succeed
 };
 using TransferResult = std::variant<FullZone, Changes, UpToDate, ValidationError>;
 
 class TransferReader {
  public:
-  // `have` is what the request was made with; `max_records` bounds what is kept.
+  // `have` is the SOA that the request was made with; `max_records` bounds the memory used.
   TransferReader(Name zone, const std::optional<Record>& have, std::uint16_t id,
                  std::optional<TsigSession> session, std::size_t max_records = 10'000'000);
 
-  // Takes the answer's next message. Something once it is over, for good or bad.
+  // Processes the next message of the answer. Returns the result when the transfer has succeeded or
+  // failed; nullopt while more messages are needed.
   std::optional<TransferResult> Take(std::string_view bytes, std::uint64_t now);
-  // The peer has ended, or nothing came in time.
+  // Returns the failure for a transfer that the peer ended early or that timed out.
   [[nodiscard]] TransferResult Interrupted(std::string why) const;
 
  private:
@@ -74,7 +77,7 @@
   State state_ = State::kFirst;
   std::size_t records_ = 0;
   std::size_t messages_ = 0;
-  Record soa_;  // the newest, which begins and ends it
+  Record soa_;  // the newest SOA, which begins and ends the transfer
   Zone full_zone_;
   std::vector<Change> changes_;
 };
--- a/src/dns/tsig.cpp
+++ b/src/dns/tsig.cpp
@@ -20,7 +20,7 @@
   Put32(out, static_cast<std::uint32_t>(value));
 }
 
-// RFC 8945 §4.2.
+// RDATA fields of a TSIG (RFC 8945 §4.2).
 struct Fields {
   Name algorithm;
   std::uint64_t time = 0;
@@ -84,7 +84,8 @@
   return out.append(mac);
 }
 
-// What the MAC is over (RFC 8945 §4.3): a third and later message has the times alone (§5.3.1).
+// Returns the input of the MAC (RFC 8945 §4.3). From the third message of an exchange on, it
+// includes only the timers of the TSIG (§5.3.1).
 std::string MacInput(std::string_view prior, std::string_view message, const Name& key,
                      const Fields& fields, bool timers_only) {
   std::string out(prior);
@@ -142,7 +143,8 @@
 }
 
 std::size_t TsigSession::MaxTsigBytes() const {
-  constexpr std::size_t kFixed = 10 + 16 + 6;  // the record's, RDATA's, and a time in it
+  constexpr std::size_t kFixed =
+      10 + 16 + 6;  // fixed fields of the record and of its RDATA, and a time in it
   return key_.name.wire().size() + AlgorithmName(key_.algorithm).wire().size() + kFixed +
          signing::MacBytes(key_.algorithm);
 }
@@ -156,7 +158,7 @@
 
 TsigError TsigSession::Check(std::string_view bytes, const Message& message, std::uint64_t now) {
   if (!message.tsig) {
-    // The request and the first answer are signed (RFC 8945 §5.3.1).
+    // The request and the first message of the answer must be signed (RFC 8945 §5.3.1).
     if (checked_ < 2 || ++unsigned_ > kMaxUnsigned) return TsigError::kBadSig;
     AddUnsigned(bytes);
     return TsigError::kNone;
--- a/src/dns/update.cpp
+++ b/src/dns/update.cpp
@@ -10,10 +10,11 @@
 
 UpdateOutcome Refused(Rcode rcode, std::string why) { return {rcode, std::move(why), {}}; }
 
-// ANY is a type of its own in prerequisites and deletions.
+// Prerequisites and deletions may have the type ANY.
 bool IsTypeOrAny(std::uint16_t type) { return IsDataType(type) || type == type::kAny; }
 
-// That a name or a set is there, or is not, whatever it holds (RFC 2136 §2.4.1, §2.4.3 to §2.4.5).
+// Checks that a name or an RRset exists, or does not, regardless of its data (RFC 2136 §2.4.1,
+// §2.4.3 to §2.4.5).
 UpdateOutcome CheckPresence(const Zone& zone, const Record& record, const std::string& what) {
   if (!record.rdata.empty() || !IsTypeOrAny(record.type)) {
     return Refused(Rcode::kFormErr, "a prerequisite that is not well-formed: " + what);
@@ -29,7 +30,7 @@
   return Refused(any_type ? Rcode::kYxDomain : Rcode::kYxRrset, what + " is there");
 }
 
-// A set must be there as a whole, no more and no less (RFC 2136 §3.2.5).
+// Checks that the RRset consists of exactly the expected records (RFC 2136 §3.2.5).
 UpdateOutcome CheckRrset(const Zone& zone, const std::vector<Record>& expected) {
   const Record& first = expected[0];
   const RecordSet* set = zone.Find(first.name, first.type);
@@ -107,7 +108,7 @@
          });
 }
 
-// The names that an update touches, before and after: no more of the zone is copied.
+// The names that an update affects, before and after it. The rest of the zone is not copied.
 class Draft {
  public:
   explicit Draft(const Zone& zone) : zone_(zone), before_(zone.origin()), after_(zone.origin()) {
--- a/src/dns/update.hpp
+++ b/src/dns/update.hpp
@@ -1,6 +1,6 @@
-// Dynamic updates (RFC 2136) worked out against a zone: the prerequisites, who may change what, and
-// the change that the update section comes to. Nothing is changed here: the caller makes the change
-// durable, applies it, and answers, in this order.
+// Evaluates dynamic updates (RFC 2136) against a zone: the prerequisites, the permissions, and the
+// change that results from the update section. The zone is not modified here: the caller makes the
+// change durable, applies it, and answers, in this order.
 #ifndef BRASSFRONT_DNS_UPDATE_HPP_
 #define BRASSFRONT_DNS_UPDATE_HPP_
 
@@ -15,22 +15,23 @@
 
 namespace brassfront::dns {
 
-// What a key may do with the names at and below `top`.
+// Permissions of a key for the names at and below `top`.
 struct Grant {
   Name key;
   Name top;
-  std::set<std::uint16_t> types;  // that it may update; all data types if empty
+  std::set<std::uint16_t> types;  // types that the key may update; empty for all data types
   bool update = false;
   bool transfer = false;
 };
 
 struct UpdateOutcome {
   Rcode rcode = Rcode::kNoError;
-  std::string why;               // where it is refused
-  std::optional<Change> change;  // nothing where there is nothing to change
+  std::string why;               // the reason of a refusal
+  std::optional<Change> change;  // nullopt if the update changes nothing
 };
 
-// `key` is what the update was signed with, if it was signed; what no grant allows is refused.
+// `key` is the name of the key that the update is signed with, if it is signed. An update that no
+// grant allows is refused.
 UpdateOutcome EvaluateUpdate(const Zone& zone, const Message& update,
                              const std::optional<Name>& key, const std::vector<Grant>& grants);
 
--- a/src/dns/zone.cpp
+++ b/src/dns/zone.cpp
@@ -7,14 +7,14 @@
 namespace brassfront::dns {
 namespace {
 
-constexpr int kMaxCnames = 16;  // followed for one answer; the rest is for the asker
+constexpr int kMaxCnames = 16;  // followed for one answer; the client resolves the rest
 
 Record RecordOf(const Name& name, std::uint16_t type, std::uint32_t ttl, std::string rdata) {
   return {name, type, klass::kIn, ttl, std::move(rdata)};
 }
 
-// Sets are kept in the order of their records' canonical form (RFC 4034 §6.3), so that one of many
-// is found without a look at all.
+// The records of an RRset are stored in canonical order (RFC 4034 §6.3), so that a binary search
+// finds a record.
 bool ComesBefore(std::uint16_t type, std::string_view a, std::string_view b) {
   if (!HasNames(type)) return a < b;
   return CanonicalRdata(type, a) < CanonicalRdata(type, b);
@@ -22,7 +22,7 @@
 
 struct RdataPosition {
   std::vector<std::string>::const_iterator at;
-  bool found = false;  // what is there is the same record
+  bool found = false;  // the record at the position equals the one searched for
 };
 
 RdataPosition FindRdata(const RecordSet& set, std::uint16_t type, std::string_view rdata) {
@@ -33,7 +33,7 @@
   return {at, at != set.rdatas.end() && !before(rdata, *at)};
 }
 
-// The field in which records of the type name a host that has addresses.
+// Returns the number of the field in which records of the type name a host.
 std::optional<std::size_t> TargetField(std::uint16_t type) {
   switch (type) {
     case type::kNs:
@@ -132,13 +132,13 @@
   const Node* cut = nullptr;
   for (Name at = name; !(at == origin_) && !at.IsRoot(); at = at.Parent()) {
     const Node* node = Find(at);
-    if (node != nullptr && node->sets.contains(type::kNs)) cut = node;  // the topmost one counts
+    if (node != nullptr && node->sets.contains(type::kNs)) cut = node;  // the topmost one applies
   }
   return cut;
 }
 
 const Node* Zone::WildcardFor(const Name& name) const {
-  // RFC 4592 §3.3.1: the one below the closest name that exists.
+  // RFC 4592 §3.3.1: the wildcard directly below the closest existing name.
   Name at = name;
   do {
     at = at.Parent();
@@ -171,7 +171,7 @@
 }
 
 void Zone::AddNegative(Lookup& lookup) const {
-  Record soa = Soa();  // for as long as the lesser of both times (RFC 2308 §3)
+  Record soa = Soa();  // its TTL is the smaller of the SOA's TTL and MINIMUM (RFC 2308 §3)
   soa.ttl = std::min(soa.ttl, NumberField(type::kSoa, soa.rdata, soa::kMinimum));
   lookup.authority.push_back(std::move(soa));
 }
@@ -180,7 +180,8 @@
   Lookup lookup;
   Name at = name;
   for (int hop = 0; hop <= kMaxCnames; ++hop) {
-    if (!at.IsAtOrBelow(origin_)) break;  // a CNAME led out: the asker goes on elsewhere
+    if (!at.IsAtOrBelow(origin_))
+      break;  // a CNAME leads out of the zone; the client resolves the rest
     if (const Node* cut = DelegationAbove(at)) {
       lookup.authoritative = !lookup.answer.empty();
       AddSet(cut->name, *cut, type::kNs, lookup.authority);
--- a/src/dns/zone.hpp
+++ b/src/dns/zone.hpp
@@ -1,9 +1,9 @@
-// A zone's data in memory: names in canonical order, each with its sets of records, and the changes
-// that led to the newest serial. It does no I/O; whoever owns it sees to it that one thread at a
-// time touches it.
+// The data of a zone in memory: names in canonical order, each with its RRsets, and the latest
+// changes that led to the current serial. This class does no I/O and is not thread-safe; its owner
+// serializes access.
 //
-// A change costs as much as the names that it touches (and the logarithm of their number), however
-// large the zone is.
+// The cost of a change depends on the number of names that it affects and on the logarithm of the
+// number of names in the zone.
 #ifndef BRASSFRONT_DNS_ZONE_HPP_
 #define BRASSFRONT_DNS_ZONE_HPP_
 
@@ -25,7 +25,7 @@
 
 struct RecordSet {
   std::uint32_t ttl = 0;
-  std::vector<std::string> rdatas;  // in canonical order, none twice
+  std::vector<std::string> rdatas;  // in canonical order, without duplicates
 };
 
 struct Node {
@@ -33,24 +33,24 @@
   std::map<std::uint16_t, RecordSet> sets;
 };
 
-// What leads from one serial to the next: the SOAs are the first of each list (RFC 1995 §4).
+// The difference between two serials. The first record of each list is the SOA (RFC 1995 §4).
 struct Change {
   std::vector<Record> removed;
   std::vector<Record> added;
 
   [[nodiscard]] std::uint32_t from() const { return SerialOf(removed.front().rdata); }
   [[nodiscard]] std::uint32_t to() const { return SerialOf(added.front().rdata); }
-  // No other record goes or comes.
+  // True if no record other than the SOA changes.
   [[nodiscard]] bool is_soa_alone() const { return removed.size() == 1 && added.size() == 1; }
 };
 
-// The outcome of a query by RFC 1034 §4.3.2 within one zone.
+// The result of a query within one zone (RFC 1034 §4.3.2).
 struct Lookup {
   Rcode rcode = Rcode::kNoError;
   bool authoritative = true;
   std::vector<Record> answer;
   std::vector<Record> authority;   // SOA for negative answers, NS for a referral
-  std::vector<Record> additional;  // addresses of what the others name
+  std::vector<Record> additional;  // addresses of the hosts that the other sections name
 };
 
 class Zone {
@@ -66,36 +66,40 @@
   [[nodiscard]] const Node* Find(const Name& name) const;
   [[nodiscard]] const RecordSet* Find(const Name& name, std::uint16_t type) const;
   [[nodiscard]] bool Holds(const Record& record) const;
-  // True if the name or one below it has records (an empty non-terminal exists too).
+  // True if the name or a name below it has records (an empty non-terminal exists as well).
   [[nodiscard]] bool Exists(const Name& name) const;
 
-  // Puts one record in. A set has one TTL, the last one given (RFC 2181 §5.2). False if it was
-  // there with that TTL.
+  // Adds a record. All records of an RRset have the TTL that was given last (RFC 2181 §5.2).
+  // Returns false if the record already existed with that TTL.
   bool Add(const Record& record);
-  bool Remove(const Record& record);  // false if it was not there
+  bool Remove(const Record& record);  // false if it did not exist
 
-  // Every record but the SOA, in canonical order.
+  // Calls `take` with each record except the SOA, in canonical order.
   void EachRecord(const std::function<void(const Record&)>& take) const;
   [[nodiscard]] std::vector<Record> RecordsOf(const Name& name) const;
 
   [[nodiscard]] Lookup Query(const Name& name, std::uint16_t type) const;
 
-  // False if the change does not start at the zone's serial, or removes what is not there.
+  // False if the change does not start at the serial of the zone, or removes a record that does not
+  // exist.
   [[nodiscard]] bool CanApply(const Change& change) const;
-  // Applies a change that fits, whole, and remembers it. False, and nothing done, if it does not.
+  // Applies the change and stores it for ChangesSince. Returns false and does nothing if CanApply
+  // is false.
   bool Apply(const Change& change);
-  // The same where Fits was asked already.
+  // Like Apply, for a change that CanApply has accepted.
   void ApplyUnchecked(const Change& change);
-  // Remembered changes from that serial to the newest, in order. Nothing if it is not known.
+  // Returns the stored changes from `serial` to the current one, in order; nullopt if they are not
+  // all stored.
   [[nodiscard]] std::optional<std::vector<const Change*>> ChangesSince(std::uint32_t serial) const;
   void ForgetChanges() { changes_.clear(), change_records_ = 0; }
-  // Changes are remembered up to this many records altogether.
+  // Limits the total number of records in the stored changes.
   void LimitChangeRecords(std::size_t records) { max_change_records_ = records; }
 
  private:
   using Nodes = std::map<std::string, Node>;
 
-  // Delegations above or at the name, but not the zone's own NS.
+  // Returns the topmost delegation at or above the name, below the zone apex; null if there is
+  // none.
   [[nodiscard]] const Node* DelegationAbove(const Name& name) const;
   [[nodiscard]] const Node* WildcardFor(const Name& name) const;
   void AddSet(const Name& as, const Node& node, std::uint16_t type,
@@ -112,10 +116,10 @@
   std::size_t max_change_records_ = 100000;
 };
 
-// What leads from one zone's data to another's; the SOAs are those of both.
+// Returns the change from the data of one zone to that of the other, including both SOAs.
 Change Difference(const Zone& from, const Zone& to);
-// What is wrong with a zone's data as a whole (RFC 1035 §5.2, RFC 2181 §10): no SOA or several, no
-// NS, a CNAME beside other data or beside another one.
+// Returns the faults of the zone as a whole (RFC 1035 §5.2, RFC 2181 §10): no SOA or several, no
+// NS, a CNAME at a name that has other data or another CNAME.
 std::vector<std::string> FindZoneErrors(const Zone& zone);
 
 }  // namespace brassfront::dns
--- a/src/dns/zone_file.cpp
+++ b/src/dns/zone_file.cpp
@@ -12,10 +12,10 @@
 
 namespace peg = tao::pegtl;
 
-constexpr std::size_t kMaxIncludeDepth = 16;               // one inside the other
-constexpr std::uint64_t kMaxGeneratedRecords = 1'000'000;  // by one $GENERATE
+constexpr std::size_t kMaxIncludeDepth = 16;               // nesting depth
+constexpr std::uint64_t kMaxGeneratedRecords = 1'000'000;  // records from one $GENERATE
 
-// ======== the grammar: lines of tokens ========
+// ======== grammar: lines of tokens ========
 
 struct Escaped : peg::seq<peg::one<'\\'>, peg::not_one<'\n', '\r'>> {};
 struct QuotedByte : peg::sor<Escaped, peg::not_one<'"', '\\', '\n', '\r'>> {};
@@ -25,7 +25,7 @@
 struct Quoted : peg::seq<InQuotes> {};
 struct PlainByte
     : peg::sor<Escaped, peg::not_one<' ', '\t', '\n', '\r', ';', '(', ')', '"', '\\'>> {};
-// A service parameter may have its value in quotes: key="a value".
+// A service parameter whose value is in quotes: key="a value".
 struct WithQuotedValue : peg::seq<peg::plus<peg::seq<peg::not_at<peg::one<'='>>, PlainByte>>,
                                   peg::one<'='>, InQuotes> {};
 struct Bare : peg::sor<WithQuotedValue, peg::plus<PlainByte>> {};
@@ -111,10 +111,10 @@
 
 std::string InBase(std::uint64_t value, char base, std::size_t width) {
   std::string out;
-  // By a pointer: GCC 12 with the undefined-behaviour sanitizer takes the first digit of
-  // (c ? "..." : "...")[n] whatever n is.
+  // Uses a pointer, since GCC 12 with the undefined-behaviour sanitizer evaluates
+  // (c ? "..." : "...")[n] to the first digit for every n.
   const char* const digits = base == 'N' || base == 'X' ? "0123456789ABCDEF" : "0123456789abcdef";
-  if (base == 'n' || base == 'N') {  // nibbles from the lowest, with dots between
+  if (base == 'n' || base == 'N') {  // nibbles separated by dots, lowest first
     while (out.size() < width || value > 0 || out.empty()) {
       if (!out.empty()) out += '.';
       out += digits[value % 16];
@@ -132,7 +132,7 @@
   return out;
 }
 
-// How $GENERATE writes its number: `${offset,width,base}`.
+// Format of the number in a $GENERATE: `${offset,width,base}`.
 struct GenerateFormat {
   std::int64_t offset = 0;
   std::size_t width = 0;
@@ -151,7 +151,7 @@
   }
 }
 
-// What stands between the braces; nothing if it is not well-formed.
+// Parses the text between the braces; returns nullopt if it is malformed.
 std::optional<GenerateFormat> ParseGenerateFormat(std::string_view inside) {
   const auto parts = SplitAtCommas(inside);
   GenerateFormat format;
@@ -173,7 +173,8 @@
   return format;
 }
 
-// The pattern with `$` and `${offset,width,base}` replaced by the number; `\$` stays a dollar.
+// Returns the pattern with `$` and `${offset,width,base}` replaced by the number; `\$` becomes a
+// dollar sign. Returns nullopt if the pattern is malformed.
 std::optional<std::string> ExpandGenerate(std::string_view pattern, std::uint32_t number) {
   std::string out;
   for (std::size_t at = 0; at < pattern.size(); ++at) {
@@ -242,7 +243,7 @@
     }
   }
 
-  Entry entry;  // the line that is being read
+  Entry entry;  // the current line
 
  private:
   void AddFault(std::size_t line, std::size_t column, std::string why) {
@@ -337,13 +338,13 @@
     }
   }
 
-  // What stands before the data of a record.
+  // The fields between the owner and the RDATA of a record.
   struct EntryHeader {
     std::optional<std::uint32_t> ttl;
     std::uint16_t type = 0;
   };
 
-  // An owner that is not given is the last one. False after a fault.
+  // Sets the owner of the record; without one the last owner applies. Returns false after a fault.
   bool TakeOwner(const std::optional<std::string>& owner, const Token& at) {
     if (!owner) {
       if (!owner_) AddFault(at, "a record without a name, and none before it");
@@ -355,7 +356,8 @@
     return owner_.has_value();
   }
 
-  // TTL and class in either order, then the type; takes the tokens. Nothing after a fault.
+  // Parses TTL and class in either order and then the type, and removes their tokens. Returns
+  // nullopt after a fault.
   std::optional<EntryHeader> TakeEntryHeader(std::span<const Token>& tokens, const Token& at) {
     std::optional<std::uint32_t> ttl;
     std::optional<std::uint16_t> klass;
@@ -426,7 +428,7 @@
   const std::function<void(Record)>& take_;
   std::vector<ZoneFileError>& faults_;
   const ZoneText* text_ = nullptr;
-  std::vector<std::string> files_;  // that are open, by identity
+  std::vector<std::string> files_;  // identities of the files being read, for loop detection
   std::optional<Name> owner_;
   std::optional<std::uint32_t> default_ttl_;
   std::optional<std::uint32_t> last_ttl_;
@@ -471,7 +473,7 @@
 Zone ReadZone(const ZoneText& text, const Name& origin, const IncludeResolver& resolve_include) {
   Zone zone(origin);
   ReadRecords(text, origin, resolve_include, [&zone](Record record) {
-    // A set has one TTL: the smallest of those given (RFC 2181 §5.2).
+    // All records of an RRset have one TTL: the smallest of those given (RFC 2181 §5.2).
     if (const RecordSet* set = zone.Find(record.name, record.type)) {
       record.ttl = std::min(record.ttl, set->ttl);
     }
--- a/src/dns/zone_file.hpp
+++ b/src/dns/zone_file.hpp
@@ -1,5 +1,5 @@
-// Zone files (RFC 1035 §5, $TTL of RFC 2308, $GENERATE): text to records, one at a time. Files
-// that are included are asked for, not opened.
+// Parses zone files (RFC 1035 §5, $TTL of RFC 2308, $GENERATE) record by record. The parser opens
+// no files: the caller provides the text of included files.
 #ifndef BRASSFRONT_DNS_ZONE_FILE_HPP_
 #define BRASSFRONT_DNS_ZONE_FILE_HPP_
 
@@ -17,25 +17,26 @@
 namespace brassfront::dns {
 
 struct ZoneText {
-  std::string file;  // as faults name it
+  std::string file;  // name for error messages
   std::string text;
-  std::string identity;  // the same for the same file by whatever name: an include may not loop
+  std::string identity;  // identifies the file whatever its name, to detect include loops
 };
 
-// The file that an $INCLUDE in `from` names; nothing, and why, if there is none or it may not be.
+// Returns the file that an $INCLUDE in `from` names; nullopt, with `why` set, if it cannot be read
+// or is not allowed.
 using IncludeResolver = std::function<std::optional<ZoneText>(
     const ZoneText& from, const std::string& named, std::string& why)>;
 
 struct ZoneFileError {
   std::string file;
-  std::size_t line = 0;  // 0 where the fault is the zone's as a whole
+  std::size_t line = 0;  // 0 for a fault of the zone as a whole
   std::size_t column = 0;
   std::string why;
 
   [[nodiscard]] std::string ToText() const;  // file:line:column: why
 };
 
-// All that is wrong, up to kMaxFaults; what() has one a line.
+// The faults of a zone file, up to kMaxFaults; what() has one per line.
 class InvalidZone : public std::runtime_error {
  public:
   static constexpr std::size_t kMaxFaults = 20;
@@ -46,14 +47,16 @@
   std::vector<ZoneFileError> faults_;
 };
 
-// Hands on each record as it is read. Throws InvalidZone, after what came before it was handed on.
+// Calls `take` with each record as it is parsed. Throws InvalidZone at the end of the file, or once
+// there are too many faults; the valid records before that have been passed to `take`.
 void ReadRecords(const ZoneText& text, const Name& origin, const IncludeResolver& resolve_include,
                  const std::function<void(Record)>& take);
 
-// A whole zone, held against FindZoneErrors. Throws InvalidZone.
+// Parses a complete zone and checks it with FindZoneErrors. Throws InvalidZone.
 Zone ReadZone(const ZoneText& text, const Name& origin, const IncludeResolver& resolve_include);
 
-// The zone as a file that reads back the same: SOA first, then in canonical order.
+// Writes the zone as a zone file that parses to the same zone: the SOA first, then the other
+// records in canonical order.
 void WriteZone(const Zone& zone, const std::function<void(std::string_view)>& write);
 
 }  // namespace brassfront::dns
--- a/src/dns/zone_transfer_session.cpp
+++ b/src/dns/zone_transfer_session.cpp
@@ -13,7 +13,8 @@
                               ZoneTransferSession::kMaxWait);
   };
   SoaTimers timers{field(soa::kRefresh), field(soa::kRetry), 0};
-  // What expires before it is asked for again would come and go (RFC 1912 §2.2).
+  // A zone that expires before it is queried again would alternately disappear and return
+  // (RFC 1912 §2.2).
   timers.expire = std::max<double>(NumberField(type::kSoa, soa_rdata, soa::kExpire),
                                    timers.refresh + timers.retry);
   return timers;
@@ -39,7 +40,7 @@
   if (phase_ != Phase::kWaiting || now < due_) return Step::kNothing;
   last_query_ = now;
   notified_ = false;
-  // Without a zone there is no serial to compare: the transfer comes at once.
+  // Without a zone there is no serial to compare: transfer at once.
   phase_ = has_zone() ? Phase::kQueryingSerial : Phase::kTransferring;
   return has_zone() ? Step::kQuerySerial : Step::kTransfer;
 }
@@ -57,7 +58,8 @@
 }
 
 void ZoneTransferSession::OnNotify(std::optional<std::uint32_t> serial, double now) {
-  // A serial that is held already needs no question; what a notice claims is believed no further.
+  // A serial that is not newer needs no query. A NOTIFY has no other effect than a query, since its
+  // claims are not trusted.
   if (serial && serial_ && !expired_ && !IsNewer(*serial, *serial_)) return;
   if (phase_ == Phase::kWaiting) {
     due_ = std::min(due_, std::max(now, last_query_ + kMinQueryInterval));
@@ -73,7 +75,7 @@
   } else if (serial == *serial_) {
     OnUpToDate(now);
   } else {
-    OnFailure(now);  // it has gone back: whatever it holds is not what it should
+    OnFailure(now);  // the serial went back: the data of the primary is wrong
   }
 }
 
--- a/src/nameserver/client.cpp
+++ b/src/nameserver/client.cpp
@@ -16,7 +16,7 @@
 using dns::Message;
 using dns::TsigError;
 
-// The message's bytes, signed with a new session if there is a key.
+// Encodes the message; signs it with a new session if there is a key.
 std::string EncodeSigned(const RequestOptions& options, const Message& message,
                          std::optional<dns::TsigSession>& session) {
   std::string bytes = Encode(message);
@@ -24,8 +24,8 @@
   return session.emplace(*options.key).Sign(std::move(bytes), SecondsNow());
 }
 
-// Why it is no answer to that message; empty if it is one. The session is spent by a good one
-// alone.
+// Returns why the bytes are not a valid answer to the message; empty if they are. Only a valid
+// answer changes the session.
 std::string ValidateAnswer(const Message& asked, std::string_view bytes,
                            const dns::Decoded& decoded, std::optional<dns::TsigSession>& session) {
   if (!decoded.message) return "an answer that cannot be read: " + decoded.why;
@@ -42,7 +42,7 @@
   if (!session) return {};
   dns::TsigSession tried = *session;
   TsigError error = tried.Check(bytes, answer, SecondsNow());
-  // An error that cannot be signed comes so; it is told, and believed no further.
+  // Some TSIG errors arrive unsigned. They are reported, but not trusted otherwise.
   if (TsigErrorOf(answer) != TsigError::kNone) error = TsigErrorOf(answer);
   if (error != TsigError::kNone) {
     return "the signature does not hold: " + dns::RcodeText(static_cast<std::uint16_t>(error));
@@ -66,7 +66,7 @@
     while (socket.AwaitInput(until)) {
       const ssize_t length = recv(socket.fd(), buffer.data(), buffer.size(), MSG_DONTWAIT);
       if (length < 0) {
-        // Nobody listens there for now (ECONNREFUSED): time passes before the next try.
+        // The port may be closed for now (ECONNREFUSED): wait before the next try.
         asked.why = std::strerror(errno);
         std::this_thread::sleep_until(until);
         break;
@@ -74,14 +74,15 @@
       const std::string_view got(buffer.data(), static_cast<std::size_t>(length));
       dns::Decoded decoded = dns::Decode(got);
       asked.why = ValidateAnswer(message, got, decoded, session);
-      // What is no answer may be another's try to pass for one: the real one is waited for.
+      // An invalid answer may be forged by a third party: continue to wait for the real one.
       if (asked.why.empty()) return {std::move(decoded.message), {}};
     }
   }
   return asked;
 }
 
-// Calls `take` with each message of the answer until it returns true; why not, otherwise.
+// Calls `take` with each message of the answer until it returns true. Returns the reason if it
+// never does, else an empty string.
 template <typename Take>
 std::string ByStream(const RequestOptions& options, const std::string& bytes, Take take) {
   const auto until = std::chrono::steady_clock::now() + options.timeout * options.tries;
--- a/src/nameserver/client.hpp
+++ b/src/nameserver/client.hpp
@@ -1,5 +1,5 @@
-// Asking a name server: one question by UDP and again by TCP where the answer was cut, transfers
-// and updates. Blocking; names are not resolved, a server is IPv4:PORT.
+// Client of a name server: queries over UDP, repeated over TCP if the answer is truncated, zone
+// transfers and updates. Calls block. Host names are not resolved: a server is given as IPv4:PORT.
 #ifndef BRASSFRONT_NAMESERVER_CLIENT_HPP_
 #define BRASSFRONT_NAMESERVER_CLIENT_HPP_
 
@@ -15,28 +15,30 @@
 
 namespace brassfront::nameserver {
 
-std::uint64_t SecondsNow();  // since 1970, as signatures have them
-double SteadySeconds();      // on a clock that never goes back
-std::uint16_t RandomId();    // not to be guessed (RFC 5452)
+std::uint64_t SecondsNow();  // since 1970, as in signatures
+double SteadySeconds();      // of a monotonic clock
+std::uint16_t RandomId();    // unpredictable (RFC 5452)
 
 struct RequestResult {
   std::optional<dns::Message> answer;
-  std::string why;  // where there is none
+  std::string why;  // the reason if there is no answer
 };
 
 struct RequestOptions {
   std::string server;
   std::optional<dns::Key> key;
-  std::chrono::milliseconds timeout{500};  // for each try by UDP, and for all by TCP
-  int tries = 3;                           // by UDP
-  bool stream = false;                     // by TCP at once
+  std::chrono::milliseconds timeout{500};  // for each try over UDP; times `tries` over TCP
+  int tries = 3;                           // over UDP
+  bool stream = false;                     // use TCP from the start
 };
 
-// The answer to the message, whose ID is set here; it is checked against the question and, with a
-// key, its signature. An update is tried once only, by TCP: who sends it again may do so twice.
+// Sends the message with a new ID and returns the answer after checking it against the question
+// and, if a key is given, its signature. An update is sent only once, over TCP, since repeating it
+// could apply it twice.
 RequestResult SendRequest(const RequestOptions& options, dns::Message message);
 
-// IXFR where `have` is given, and AXFR if the primary cannot do that.
+// Requests an IXFR if `have` is given, and an AXFR otherwise or if the primary does not support
+// IXFR.
 dns::TransferResult Transfer(const RequestOptions& options, const dns::Name& zone,
                              const std::optional<dns::Record>& have);
 
