--- a/src/dns/message.cpp
+++ b/src/dns/message.cpp
@@ -75,7 +75,7 @@
 
   void FollowPointer(NameCursor& cursor, bool allowed) {
     if (!allowed || cursor.at + 1 >= bytes_.size()) {
-      return Fail("a compressed name where none may be");
+      return Fail("a compressed name where compression is not allowed");
     }
     const std::size_t target = Get16(bytes_, cursor.at) & kMaxPointer;
     if (!cursor.jumped) at_ = cursor.at + 2;
@@ -135,7 +135,7 @@
     }
   }
   if (reader.good() && (reader.at() != end || !IsRdata(type, out))) {
-    reader.Fail("a record's data is not what its type has");
+    reader.Fail("a record's data is not valid for its type");
   }
   return out;
 }
@@ -260,7 +260,7 @@
 void TakeOpt(Reader& reader, const Record& opt, bool additional, std::uint32_t flags,
              Message& message) {
   if (!additional || message.edns || !opt.name.IsRoot()) {
-    reader.Fail("OPT in a place or a number that is not allowed");
+    reader.Fail("an OPT record that is duplicated, misplaced or not owned by the root");
   }
   message.edns = EdnsFrom(opt);
   message.rcode = static_cast<Rcode>((flags & 15) | (opt.ttl >> 24) << 4);
--- a/src/dns/rdata.cpp
+++ b/src/dns/rdata.cpp
@@ -525,7 +525,7 @@
     return std::nullopt;
   }
   if (info == nullptr) {
-    why = TypeText(type) + " has no form of its own here: write its RDATA as \\# LENGTH HEX";
+    why = TypeText(type) + " has no text format of its own here: write its RDATA as \\# LENGTH HEX";
     return std::nullopt;
   }
   std::string rdata;
--- a/src/nameserver/client.cpp
+++ b/src/nameserver/client.cpp
@@ -54,7 +54,8 @@
 RequestResult ByDatagram(const RequestOptions& options, const Message& message) {
   RequestResult asked{{}, "no answer"};
   Socket socket = ConnectDatagrams(options.server);
-  if (!socket.is_open()) return {{}, "no way to " + options.server + ": " + std::strerror(errno)};
+  if (!socket.is_open())
+    return {{}, "cannot send to " + options.server + ": " + std::strerror(errno)};
   std::vector<char> buffer(dns::kMaxMessageBytes);
   for (int attempt = 0; attempt < options.tries; ++attempt) {
     std::optional<dns::TsigSession> session;
--- a/src/nameserver/host.cpp
+++ b/src/nameserver/host.cpp
@@ -16,8 +16,8 @@
 using observe::Level;
 using std::chrono::steady_clock;
 
-// Files are looked at this often. One that changed is read when it was the same at two looks:
-// guards against half of what an editor is still writing.
+// How often the zone files are checked. A changed file is read once it is the same at two
+// consecutive checks, so that a file that an editor is still writing is not read.
 constexpr std::chrono::milliseconds kFilePollInterval{200};
 
 Faults FaultsAt(const std::vector<ScheduledFault>& schedule, double seconds) {
@@ -37,7 +37,8 @@
   return all;
 }
 
-// The file's time says when the copy in the folder was last known to be the primary's.
+// The modification time of this file records when the primary last confirmed the copy in the
+// folder.
 void RecordConfirmation(const std::string& folder) {
   if (!folder.empty()) File::OpenEmpty(folder + "/confirmed");
 }
@@ -190,7 +191,7 @@
       hosted.loaded_stamp = now;
       LoadFile(hosted);
     } else if (now && hosted.good && watcher_.confirmed) {
-      // A file that is there and the same says again what it said.
+      // An existing file that is unchanged confirms the zone.
       const std::lock_guard lock(zones_mutex_);
       watcher_.confirmed(hosted.manager->zone());
     }
--- a/src/nameserver/host.hpp
+++ b/src/nameserver/host.hpp
@@ -1,6 +1,6 @@
-// All that a name server is made of: its zones from files, folders and primaries, the server, and
-// faults by order. The program's stand-in runs one, and so does a forwarder that takes endpoints
-// from zones.
+// A complete name server: its zones from files, folders and primaries, the server, and injected
+// faults. `zone serve` and rehearsals run one, and so does a forwarder that reads its endpoints from
+// zones.
 #ifndef BRASSFRONT_NAMESERVER_HOST_HPP_
 #define BRASSFRONT_NAMESERVER_HOST_HPP_
 
@@ -25,8 +25,8 @@
 
 class Host {
  public:
-  // Reads what there is and serves from now on. A zone whose file is bad is not answered until the
-  // file is good; a folder that cannot be used ends the start. Throws std::runtime_error.
+  // Loads the zones and starts to serve. A zone whose file is invalid is not answered until the
+  // file is valid. Throws std::runtime_error if a folder cannot be used.
   Host(HostSettings settings, ZoneWatcher watcher);
   ~Host();
 
@@ -40,12 +40,12 @@
     std::unique_ptr<StoredZone> stored;
     std::unique_ptr<FileZone> from_file;
     std::unique_ptr<FollowedZone> followed;
-    ZoneManager* manager = nullptr;  // of the three, the one that it is
+    ZoneManager* manager = nullptr;  // points to the one of these three that is set
     std::unique_ptr<SecondaryZone> following;
-    // Of the file: as it was when it was read, and as it was at the last look.
+    // Stamps of the file: when it was last read, and when it was last checked.
     std::optional<zones::FileStamp> loaded_stamp, seen_stamp;
-    bool good = false;    // what it said then was taken up
-    double copy_age = 0;  // of a followed zone's copy in its folder, in seconds
+    bool good = false;    // the file was valid when it was last read, and its data was applied
+    double copy_age = 0;  // seconds since the stored copy of a secondary zone was last confirmed
   };
 
   void Open(HostedZone& hosted);
@@ -60,7 +60,7 @@
   Responder responder_;
   std::vector<HostedZone> hosted_;
   std::unique_ptr<Server> server_;
-  std::mutex mutex_;  // for the end
+  std::mutex mutex_;  // guards stopping_
   std::condition_variable end_;
   bool stopping_ = false;
   Thread thread_;
--- a/src/nameserver/responder.cpp
+++ b/src/nameserver/responder.cpp
@@ -88,7 +88,7 @@
     return ReplyOf(Encode(*decoded.refusal), "refused: " + decoded.why);
   }
   const Message& message = *decoded.message;
-  if (message.response) return NoReply("dropped: a response that nothing asked for");
+  if (message.response) return NoReply("dropped: an unsolicited response");
 
   Request request{message, bytes, stream, seconds};
   if (!stream) {
@@ -117,7 +117,7 @@
     request.session = &*session;
   }
   if (message.edns && message.edns->version != 0) {
-    return Refuse(request, Rcode::kBadVers, "EDNS of another version");
+    return Refuse(request, Rcode::kBadVers, "unsupported EDNS version");
   }
   switch (message.opcode) {
     case Opcode::kUpdate:
@@ -127,10 +127,10 @@
     case Opcode::kQuery:
       break;
     default:
-      return Refuse(request, Rcode::kNotImp, "an opcode that is not served");
+      return Refuse(request, Rcode::kNotImp, "an opcode that is not supported");
   }
   if (message.question.size() != 1) {
-    return Refuse(request, Rcode::kFormErr, "not one question");
+    return Refuse(request, Rcode::kFormErr, "a query that does not have exactly one question");
   }
   const auto type = message.question[0].type;
   return type == dns::type::kAxfr || type == dns::type::kIxfr ? Transfer(request) : Query(request);
@@ -155,7 +155,8 @@
   }
   const ZoneManager* manager = ZoneContaining(question.name);
   if (manager == nullptr) {
-    return Refuse(request, Rcode::kRefused, question.name.ToText() + " is in no zone here");
+    return Refuse(request, Rcode::kRefused,
+                  question.name.ToText() + " is in no zone of this server");
   }
   if (!manager->answers()) {
     return Refuse(request, Rcode::kServFail,
@@ -187,12 +188,13 @@
     return Refuse(request, Rcode::kRefused, what + ": no grant");
   }
   if (question.type == dns::type::kIxfr && !ClientSerial(request.message)) {
-    return Refuse(request, Rcode::kFormErr, what + ": without the asker's SOA");
+    return Refuse(request, Rcode::kFormErr, what + ": without the client's SOA");
   }
   if (question.type == dns::type::kAxfr && !request.stream) {
     return Refuse(request, Rcode::kFormErr, what + ": by UDP");
   }
-  if (!manager->answers()) return Refuse(request, Rcode::kServFail, what + ": not for now");
+  if (!manager->answers())
+    return Refuse(request, Rcode::kServFail, what + ": the zone is not available");
   Reply reply;
   reply.messages = TransferAnswer(manager->zone(), request.message, request.stream, request.limit,
                                   request.session, request.now);
@@ -206,7 +208,7 @@
   ZoneManager* manager =
       message.question.size() == 1 ? ZoneWithApex(message.question[0].name) : nullptr;
   if (message.question.size() != 1) {
-    return Refuse(request, Rcode::kFormErr, "an update of not one zone");
+    return Refuse(request, Rcode::kFormErr, "an update that does not name exactly one zone");
   }
   if (manager == nullptr) {
     return Refuse(request, Rcode::kNotAuth,
@@ -215,7 +217,8 @@
   if (!manager->takes_updates()) {
     return Refuse(request, Rcode::kRefused, "an update of a zone that follows a primary");
   }
-  if (!manager->answers()) return Refuse(request, Rcode::kServFail, "an update: not for now");
+  if (!manager->answers())
+    return Refuse(request, Rcode::kServFail, "an update: the zone is not available");
   const std::string mac = request.session != nullptr ? request.session->mac() : std::string();
   signatures_.RemoveExpired(request.now);
   if (!mac.empty()) {
@@ -235,7 +238,7 @@
     dns::UpdateSignature signature;
     if (!mac.empty()) signature = {mac, request.session->signed_at()};
     if (!manager->Commit(*outcome.change, mac.empty() ? nullptr : &signature, why)) {
-      return Refuse(request, Rcode::kServFail, "an update that cannot be kept: " + why);
+      return Refuse(request, Rcode::kServFail, "an update that cannot be stored: " + why);
     }
     event = "updated " + manager->zone().origin().ToText() + " to serial " +
             std::to_string(manager->zone().serial());
--- a/src/nameserver/secondary_zone.cpp
+++ b/src/nameserver/secondary_zone.cpp
@@ -50,7 +50,7 @@
   while (!stopping_) {
     const auto step = session_.NextStep(SteadySeconds());
     if (step == dns::ZoneTransferSession::Step::kNothing) {
-      // An hour at most: a due time far away is none to the clock's arithmetic.
+      // At most an hour, since a time far in the future overflows the arithmetic of the clock.
       const double wait = std::clamp(session_.NextStepTime() - SteadySeconds(), 0.001, 3600.0);
       wake_.wait_for(lock, std::chrono::duration<double>(wait),
                      [this] { return stopping_ || std::exchange(wake_requested_, false); });
@@ -101,9 +101,9 @@
                     answer->authoritative && answer->answer.size() == 1 &&
                     answer->answer[0].type == dns::type::kSoa;
   if (!good) {
-    return Fail(answer == nullptr ? asked.why
-                                  : "the primary answers " + RcodeText(answer->rcode) +
-                                        " where its SOA was asked for");
+    return Fail(answer == nullptr
+                    ? asked.why
+                    : "the primary answers " + RcodeText(answer->rcode) + " to a SOA query");
   }
   const auto serial = dns::SerialOf(answer->answer[0].rdata);
   const std::lock_guard zones(zones_mutex_);
@@ -123,7 +123,7 @@
   if (zone_.zone().has_soa()) {
     if (dns::IsNewer(zone_.zone().serial(), fetched.serial())) {
       why =
-          "the primary sends a whole zone of the older serial " + std::to_string(fetched.serial());
+          "the primary sent a full zone with the older serial " + std::to_string(fetched.serial());
       return false;
     }
     change = dns::Difference(zone_.zone(), fetched);
@@ -172,7 +172,8 @@
       const AppliedChanges applied = ApplyChanges(changes->changes, why);
       changed = applied.count > 0;
       again =
-          !applied.all_applied;  // what the primary says does not fit what is held: fetch it all
+          !applied
+               .all_applied;  // the changes do not apply to the local data: request the full zone
     } else if (std::holds_alternative<dns::UpToDate>(result)) {
       zone_.set_expired(false);
       if (watcher_.confirmed) watcher_.confirmed(zone_.zone());
--- a/src/nameserver/secondary_zone.hpp
+++ b/src/nameserver/secondary_zone.hpp
@@ -1,5 +1,5 @@
-// Follows a primary with one thread: asks, transfers, and applies what came
-// (dns::ZoneTransferSession decides when and what).
+// Keeps a secondary zone up to date with one thread: queries the serial of the primary, requests
+// transfers and applies them (dns::ZoneTransferSession decides what to do and when).
 #ifndef BRASSFRONT_NAMESERVER_SECONDARY_ZONE_HPP_
 #define BRASSFRONT_NAMESERVER_SECONDARY_ZONE_HPP_
 
@@ -17,25 +17,26 @@
 
 namespace brassfront::nameserver {
 
-// What became of a zone. Called with the zones' mutex held.
+// Callbacks for the events of a zone. They are called with the zones' mutex locked.
 struct ZoneWatcher {
-  // What is there at the start: of a followed zone, its copy in the folder.
+  // The zone as loaded at the start; for a secondary zone, the copy in its folder.
   std::function<void(const dns::Zone& zone)> loaded;
-  // `change` leads from what was there to the zone; null where all of it is new.
+  // `change` is the difference from the previous data; null if there was none.
   std::function<void(const dns::Zone& zone, const dns::Change* change)> changed;
-  std::function<void(const dns::Zone& zone)> confirmed;  // nothing new, by its source's word
+  std::function<void(const dns::Zone& zone)> confirmed;  // its source confirms that nothing changed
   std::function<void(const dns::Zone& zone, const std::string& why)> failed;
   std::function<void(const dns::Zone& zone)> expired;
 };
 
 class SecondaryZone {
  public:
-  // `mutex` guards the zone. `age` is how long ago, in seconds, what the zone holds was confirmed.
+  // `mutex` guards the zone. `age` is the time in seconds since the data of the zone was last
+  // confirmed.
   SecondaryZone(FollowedZone& zone, std::mutex& mutex, RequestOptions options, double age,
                 ZoneWatcher watcher);
   ~SecondaryZone();
 
-  // From a notice; never waits for the thread.
+  // Processes a NOTIFY; never waits for the thread.
   void OnNotify(std::optional<std::uint32_t> serial);
 
  private:
@@ -48,19 +49,20 @@
     bool all_applied = true;
   };
 
-  // With the zones' mutex held; `why` tells what did not fit.
+  // Called with the zones' mutex locked. On failure `why` is the reason.
   bool ApplyFullZone(const dns::Zone& fetched, std::string& why);
   AppliedChanges ApplyChanges(const std::vector<dns::Change>& changes, std::string& why);
   void RecordTransfer(bool changed);
 
-  void ReportFailure(const std::string& why);  // with the zones' mutex held
+  void ReportFailure(const std::string& why);  // with the zones' mutex locked
   void Fail(const std::string& why);
 
   FollowedZone& zone_;
   std::mutex& zones_mutex_;
   const RequestOptions options_;
   const ZoneWatcher watcher_;
-  std::mutex mutex_;  // guards what follows; taken after the zones' mutex, if both are
+  std::mutex
+      mutex_;  // guards the members below; if both are locked, the zones' mutex is locked first
   std::condition_variable wake_;
   dns::ZoneTransferSession session_;
   bool wake_requested_ = false;
--- a/src/nameserver/server.cpp
+++ b/src/nameserver/server.cpp
@@ -25,12 +25,12 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-// A notice is sent again after this, then after twice as long, and so on (RFC 1996 §3.6).
+// Time before a NOTIFY is first sent again; it doubles with each try (RFC 1996 §3.6).
 constexpr milliseconds kFirstNoticeInterval{200};
 constexpr int kNoticeTries = 6;
 constexpr std::size_t kStreamThreads = 8;
 constexpr milliseconds kSendTimeout{5000};  // for one answer over a stream
-constexpr int kBindTries = 50;              // TCP's free port may be taken for UDP
+constexpr int kBindTries = 50;              // a port that is free for TCP may be in use for UDP
 
 constexpr const char* kLogSide = "zone side";
 constexpr milliseconds kNoticeAnswerTimeout{50};
@@ -186,7 +186,8 @@
   for (const auto& connection : idle) Close(*connection, "the server ends");
 }
 
-// Waits for one to be readable, and hands those that are to the pool; returns those that stay idle.
+// Waits until a connection is readable and passes the readable ones to the pool. Closes those that
+// have been idle for too long and returns the others.
 Server::Connections Server::AwaitStreams(Connections idle) {
   std::vector<pollfd> wanted = {{listener_.fd(), POLLIN, 0}, {wake_, POLLIN, 0}};
   auto next = steady_clock::now() + options_.idle;
@@ -256,7 +257,7 @@
   WakeStreams();
 }
 
-// False if the connection has been closed.
+// Returns false if the connection has been closed.
 bool Server::AnswerOnStream(Connection& connection, std::string_view message) {
   const Faults faults = FaultsNow();
   auto answers = Answers(message, true, faults);
@@ -271,7 +272,7 @@
   }
   const auto until = steady_clock::now() + kSendTimeout;
   for (const std::string& answer : answers) {
-    // With half a transfer the length is the whole one's, as a stream that breaks has it.
+    // The length prefix of half an answer is made too large, as in a stream that breaks off.
     std::string framed = dns::WithLengthPrefix(answer);
     if (half) framed[0] = static_cast<char>(framed[0] | 0x40);
     if (!connection.socket.SendAll(framed, until)) {
@@ -290,7 +291,7 @@
   if (!faults_.notices) return;
   for (const std::string& secondary : options_.notify) {
     auto& notices = due_notices_[secondary];
-    // A newer notice of the zone takes the place of the one that waits.
+    // A newer notice of the zone replaces the pending one.
     std::erase_if(notices, [&zone](const Notice& notice) { return notice.zone == zone; });
     notices.push_back({zone, steady_clock::now(), kFirstNoticeInterval, kNoticeTries, RandomId()});
   }
@@ -298,7 +299,8 @@
   state_changed_.notify_all();
 }
 
-// The notices whose time has come, each with its next one set; `next` is when to look again.
+// Returns the notices that are due and schedules the next try of each. Lowers `next` to the time at
+// which the earliest notice is due.
 std::vector<Server::OutgoingNotice> Server::TakeDueNotices(SteadyTime& next) {
   std::vector<OutgoingNotice> due;
   const std::lock_guard lock(state_mutex_);
@@ -318,7 +320,8 @@
   return due;
 }
 
-// Sends it and forgets it if the secondary confirms it at once; else it is sent again.
+// Sends the notice and removes it if the secondary confirms it at once; otherwise it is sent again
+// later.
 void Server::SendNotice(const OutgoingNotice& notice) {
   const Socket to = ConnectDatagrams(notice.secondary);
   if (!to.is_open()) return;
--- a/src/nameserver/server.hpp
+++ b/src/nameserver/server.hpp
@@ -1,9 +1,8 @@
-// The name server's sockets: UDP and TCP on one address, notices to secondaries, and faults by
-// order, for it stands in for other people's servers in tests and rehearsals.
+// The sockets of the name server: UDP and TCP on one address, NOTIFY messages to secondaries, and
+// injected faults, since it simulates foreign name servers in tests and rehearsals.
 //
-// One thread reads datagrams, one waits at all TCP connections, and a few come and go with the
-// answers that streams ask for. One mutex is around all zones; an update holds it until the disk
-// has confirmed it.
+// One thread reads datagrams, one polls all TCP connections, and a small pool answers the requests
+// on them. One mutex guards all zones; an update holds it until the change is durable on disk.
 #ifndef BRASSFRONT_NAMESERVER_SERVER_HPP_
 #define BRASSFRONT_NAMESERVER_SERVER_HPP_
 
@@ -26,16 +25,16 @@
 
 namespace brassfront::nameserver {
 
-// What a name server may do wrong. All may be changed at any time.
+// Injected faults of a name server. They may be changed at any time.
 struct Faults {
-  bool quiet = false;                           // takes requests and answers none
+  bool quiet = false;                           // requests are read but not answered
   std::chrono::milliseconds delay{0};           // before each answer
-  bool refuse = false;                          // SERVFAIL to all
-  bool truncate = false;                        // TC on every answer by UDP
-  std::optional<std::uint32_t> claimed_serial;  // in SOA answers, whatever the zone's is
-  bool half_transfers = false;                  // the stream ends in the middle
-  bool garbage = false;                         // answers with bytes that mean nothing
-  bool notices = true;                          // false: changes are not told of
+  bool refuse = false;                          // every answer is SERVFAIL
+  bool truncate = false;                        // every answer over UDP has TC set
+  std::optional<std::uint32_t> claimed_serial;  // serial in SOA answers instead of the real one
+  bool half_transfers = false;                  // the stream is closed in the middle of an answer
+  bool garbage = false;                         // answers consist of meaningless bytes
+  bool notices = true;                          // false: no NOTIFY messages are sent
 
   [[nodiscard]] bool any() const {
     return quiet || delay.count() > 0 || refuse || truncate || claimed_serial || half_transfers ||
@@ -49,14 +48,14 @@
     std::string address = "127.0.0.1:0";  // IPv4:PORT
     std::vector<std::string> notify;      // IPv4:PORT of secondaries
     std::size_t max_connections = 100;
-    std::chrono::seconds idle{10};  // after which a connection without a request is ended
+    std::chrono::seconds idle{10};  // a connection without a request is closed after this time
   };
-  // Called with the zone's mutex held.
+  // Called with the zones' mutex locked.
   using OnNotice = std::function<void(const dns::Name& zone, std::optional<std::uint32_t> serial)>;
   using OnUpdate = std::function<void(const dns::Zone& zone, const dns::Change& change)>;
 
-  // Listens from now on. Throws std::runtime_error if it cannot. The mutex guards the responder
-  // and all that it leads to.
+  // Starts to listen. Throws std::runtime_error on failure. The mutex guards the responder and its
+  // zones.
   Server(Options options, Responder& responder, std::mutex& mutex);
   ~Server();
 
@@ -64,7 +63,7 @@
   void SetFaults(const Faults& faults);
   void OnNotices(OnNotice take);
   void OnUpdates(OnUpdate take);
-  // Tells the secondaries of the zone's present serial.
+  // Sends a NOTIFY about the zone to all secondaries.
   void Announce(const dns::Name& zone);
   [[nodiscard]] std::uint64_t answered() const { return answered_; }
 
@@ -100,7 +99,7 @@
   std::vector<OutgoingNotice> TakeDueNotices(SteadyTime& next);
   void SendNotice(const OutgoingNotice& notice);
   void Close(const Connection& connection, const char* reason);
-  // Empty if nothing is to be sent. With the faults of the moment.
+  // Returns the messages of the answer, with the faults applied; empty if nothing is to be sent.
   std::vector<std::string> Answers(std::string_view bytes, bool stream, const Faults& faults);
   Faults FaultsNow();
   void WakeStreams();
@@ -111,18 +110,18 @@
   std::string address_;
   Socket datagrams_;
   Socket listener_;
-  int wake_ = -1;  // an eventfd: a connection came back, or the end
+  int wake_ = -1;  // an eventfd, signaled when a connection is returned or the server stops
   std::atomic<bool> stopping_ = false;
   std::atomic<std::uint64_t> answered_ = 0;
 
-  std::mutex state_mutex_;  // guards what follows
+  std::mutex state_mutex_;  // guards the members below, up to open_
   std::condition_variable state_changed_;
   Faults faults_;
   OnNotice on_notice_;
   OnUpdate on_update_;
   std::vector<std::shared_ptr<Connection>> returned_;
   std::map<std::string, std::vector<Notice>> due_notices_;  // by secondary
-  bool announced_ = false;                                  // since the notices were looked at
+  bool announced_ = false;  // since the due notices were last collected
   std::size_t open_ = 0;
 
   std::unique_ptr<ThreadPool<std::shared_ptr<Connection>>> threads_;
--- a/src/nameserver/settings.cpp
+++ b/src/nameserver/settings.cpp
@@ -63,7 +63,7 @@
     if (auto secret = dns::FromBase64(record.At("secret").Text())) {
       key.secret = *std::move(secret);
     } else {
-      faults_.push_back(record.At("secret").Complain("a secret is Base64 in one word"));
+      faults_.push_back(record.At("secret").Complain("a secret must be Base64 without spaces"));
     }
     return key;
   }
@@ -159,18 +159,18 @@
 
 #Grant: {
   key:      string & !=""
-  top:      string & !=""                   // for this name and all below it
-  types:    [...string] | *[]               // that may be updated; all if none is named
+  top:      string & !=""                   // for this name and all names below it
+  types:    [...string] | *[]               // types that may be updated; all if empty
   update:   bool | *false
   transfer: bool | *false
 }
 
 #Zone: {
   name:     string & !=""
-  file?:    string                          // paths are from this file's folder
+  file?:    string                          // paths are relative to the folder of this file
   folder?:  string
   primary?: string                          // IPv4:PORT
-  key?:     string                          // that the primary is asked with
+  key?:     string                          // for requests to the primary
 }
 
 #Fault: {
@@ -183,7 +183,7 @@
   half_transfers: bool | *false
   garbage:        bool | *false
   notices:        bool | *true
-  serial?:        int & >=0 & <=4294967295  // that SOA answers claim
+  serial?:        int & >=0 & <=4294967295  // serial in SOA answers instead of the real one
 }
 
 #Nameserver: {
--- a/src/nameserver/settings.hpp
+++ b/src/nameserver/settings.hpp
@@ -1,4 +1,4 @@
-// A name server's settings, as an operator file of typed records gives them.
+// The settings of a name server, read from an operator file of typed records.
 #ifndef BRASSFRONT_NAMESERVER_SETTINGS_HPP_
 #define BRASSFRONT_NAMESERVER_SETTINGS_HPP_
 
@@ -16,13 +16,13 @@
 
 struct ZoneSettings {
   dns::Name name;
-  std::string file;             // read at the start, and again whenever it changes
-  std::string folder;           // what updates and transfers made of it, for the next start
-  std::string primary;          // IPv4:PORT: it is followed, and takes no updates
-  std::optional<dns::Key> key;  // that the primary is asked with
+  std::string file;     // zone file; read at the start and after each change
+  std::string folder;   // folder that stores the updated or transferred zone across restarts
+  std::string primary;  // IPv4:PORT of the primary of a secondary zone, which accepts no updates
+  std::optional<dns::Key> key;  // for requests to the primary
 };
 
-// From `at` seconds after the start, for `length` seconds.
+// Faults that apply from `at` seconds after the start for `length` seconds.
 struct ScheduledFault {
   double at = 0;
   double length = 0;
@@ -39,12 +39,13 @@
 
 double SecondsIn(const records::Record& duration);
 
-// The definitions #Key, #Grant, #Zone, #Fault and #Nameserver.
+// Returns the definitions #Key, #Grant, #Zone, #Fault and #Nameserver.
 std::string_view NameserverSchema();
-// Throws records::BadRecords with all that no schema can say. Paths are from the file's folder.
+// Throws records::BadRecords with all errors that the schema cannot detect. Paths are relative to
+// `folder`.
 HostSettings ReadHostSettings(const records::Record& record, const std::string& folder);
 dns::Key ReadKey(const records::Record& record);
-// A file of `key: {...}`, for clients.
+// Reads a file of `key: {...}`, for clients.
 dns::Key LoadKey(const std::string& path);
 
 }  // namespace brassfront::nameserver
--- a/src/nameserver/zone_managers.hpp
+++ b/src/nameserver/zone_managers.hpp
@@ -1,4 +1,4 @@
-// Where zones are kept: on disk, in memory, or as a copy of a primary's.
+// Storage of zones: on disk, in memory, or as a copy of a primary's zone.
 #ifndef BRASSFRONT_NAMESERVER_ZONE_MANAGERS_HPP_
 #define BRASSFRONT_NAMESERVER_ZONE_MANAGERS_HPP_
 
@@ -11,7 +11,7 @@
 
 namespace brassfront::nameserver {
 
-// A primary's zone in a folder; what it confirms outlives the process.
+// A primary zone that is stored in a folder; committed changes survive the process.
 class StoredZone : public ZoneManager {
  public:
   StoredZone(std::string folder, const dns::Name& origin, zones::ZoneStore::Options options)
@@ -35,7 +35,7 @@
   zones::ZoneStore store_;
 };
 
-// A zone in memory: its changes end with the process.
+// A zone in memory; its changes are lost when the process ends.
 class MemoryZone : public ZoneManager {
  public:
   explicit MemoryZone(dns::Zone zone) : zone_(std::move(zone)) {}
@@ -52,7 +52,7 @@
   dns::Zone zone_;
 };
 
-// A zone that is read from a file again and again, and changed by nothing else.
+// A zone that changes only when its file is read again.
 class FileZone : public MemoryZone {
  public:
   using MemoryZone::MemoryZone;
@@ -60,10 +60,10 @@
   void Start(dns::Zone zone) { zone_ = std::move(zone); }
 };
 
-// A copy of a primary's zone. Who follows it writes to it, and says when it counts no more.
+// A copy of a primary's zone. SecondaryZone writes to it and marks it as expired.
 class FollowedZone : public ZoneManager {
  public:
-  // With a folder the copy outlives the process. Throws zones::StoreError.
+  // If a folder is given, the copy survives the process. Throws zones::StoreError.
   FollowedZone(const dns::Name& origin, const std::string& folder) : zone_(origin) {
     if (!folder.empty()) store_.emplace(folder, origin, zones::ZoneStore::Options{});
   }
--- a/src/zones/store.cpp
+++ b/src/zones/store.cpp
@@ -21,14 +21,15 @@
 using dns::Put16;
 using dns::Put32;
 
-// A file starts with these and the zone's name. The digit is the format's version.
+// A file starts with one of these lines and the name of the zone. The digit is the format version.
 constexpr std::string_view kJournalMagic = "brassfront zone journal 1\n";
 constexpr std::string_view kSnapshotMagic = "brassfront zone snapshot 1\n";
-// An entry: length of the body (4), its checksum (8), the body, whose first 8 bytes are its number.
+// An entry consists of the length of the body (4 bytes), its checksum (8 bytes), and the body,
+// whose first 8 bytes are the number of the entry.
 constexpr std::size_t kEntryHeaderBytes = 12;
 constexpr std::size_t kMaxSignatures = 100'000;
 constexpr std::size_t kSnapshotEntryBytes =
-    1 << 16;  // of a snapshot; each with a checksum as an entry
+    1 << 16;  // a snapshot is split into entries of about this size
 
 void Put64(std::string& out, std::uint64_t value) {
   Put32(out, static_cast<std::uint32_t>(value >> 32));
@@ -54,7 +55,7 @@
   out += record.rdata;
 }
 
-// The record at the start, which is taken off; nothing if it is not one.
+// Parses the record at the start of the bytes and removes it; returns nullopt if it is malformed.
 std::optional<dns::Record> TakeRecord(std::string_view& bytes) {
   const auto name = dns::Name::TakeWire(bytes);
   if (!name || bytes.size() < 8) return std::nullopt;
@@ -67,7 +68,8 @@
   return record;
 }
 
-// An entry's body: its number, its signature if it has one, and the change if it has one.
+// The start of the body of a journal entry: its number and its signature, which may be empty. The
+// change follows, if there is one.
 std::string SignatureBody(std::uint64_t number, const dns::UpdateSignature* signature) {
   std::string body;
   Put64(body, number);
@@ -77,7 +79,8 @@
   return body;
 }
 
-// Taken off the start of a body without its number; false if it is not one.
+// Parses the signature at the start of a body, after its number, and removes it; returns false if
+// it is malformed.
 bool TakeSignature(std::string_view& body, dns::UpdateSignature& signature) {
   if (body.size() < 2) return false;
   const std::size_t length = Get16(body, 0);
@@ -116,7 +119,7 @@
 
 enum class Next { kEntry, kEnd, kBad };
 
-// The entry at `at`, which moves past it. The body starts with the entry's number.
+// Reads the entry at `at` and moves `at` past it. The body starts with the number of the entry.
 Next TakeEntry(std::string_view bytes, std::size_t& at, std::string_view& body) {
   const std::size_t left = bytes.size() - at;
   if (left == 0) return Next::kEnd;
@@ -129,10 +132,11 @@
   return Next::kEntry;
 }
 
-// Whether a whole entry with a number above `number` starts anywhere behind `at`. What a write that
-// was cut short leaves has none behind it; a bad entry that has is damage.
+// True if a complete entry with a number above `number` starts anywhere after `at`. An incomplete
+// write has none after it, so an invalid entry that is followed by a valid one is damage.
 bool HasEntryAfter(std::string_view bytes, std::size_t at, std::uint64_t number) {
-  constexpr std::uint64_t kMaxEntries = std::uint64_t{1} << 32;  // behind one that is bad
+  constexpr std::uint64_t kMaxEntries = std::uint64_t{1}
+                                        << 32;  // maximum plausible distance of entry numbers
   while (++at + kEntryHeaderBytes + 8 <= bytes.size()) {
     const std::uint64_t found = Get64(bytes, at + kEntryHeaderBytes);
     if (found <= number || found - number > kMaxEntries) continue;
@@ -228,7 +232,7 @@
   std::string_view body;
   bool ended = false;
   while (TakeEntry(*bytes, at, body) == Next::kEntry) {
-    if (ended) throw StoreError(snapshot + " goes on after its end");
+    if (ended) throw StoreError(snapshot + " contains data after its end");
     entries_ = Get64(body, 0);
     body.remove_prefix(8);
     ended = body.empty();
@@ -259,7 +263,8 @@
     const std::string place = journal + " at byte " + std::to_string(before);
     if (next == Next::kBad) {
       if (HasEntryAfter(bytes, before, entries_)) {
-        throw StoreError(place + " is damaged, with more behind it: restore it from a copy");
+        throw StoreError(place +
+                         " is damaged, and valid entries follow: restore the journal from a copy");
       }
       cut_bytes_ = bytes.size() - before;
       if (disk_.Truncate(journal_, before) != 0 || disk_.Synchronise(journal_) != 0) {
@@ -270,12 +275,12 @@
     const std::uint64_t number = Get64(body, 0);
     body.remove_prefix(8);
     dns::UpdateSignature signature;
-    if (!TakeSignature(body, signature)) throw StoreError(place + " has no signature's place");
+    if (!TakeSignature(body, signature)) throw StoreError(place + " has no signature field");
     if (!signature.mac.empty()) Remember(signature);
     if (number <= entries_) continue;  // in the snapshot
     const auto change = ChangeIn(body);
     if (number != entries_ + 1 || !change || !zone_.Apply(*change)) {
-      throw StoreError(place + " does not follow from what is before it");
+      throw StoreError(place + " does not follow from the entries before it");
     }
     entries_ = number;
   }
@@ -310,7 +315,7 @@
     return false;
   }
   if (SynchroniseFolder(disk_, folder_)) return true;
-  // The new file has its name now, or will have the old one after a power cut: nobody can tell.
+  // It is unknown whether the new or the old file will have the name after a power failure.
   write_failed_ = true;
   return Fail(folder_);
 }
@@ -336,7 +341,7 @@
       if (body.size() >= kSnapshotEntryBytes) flush();
     });
     if (body.size() > 8) flush();
-    flush();  // an empty one is the end
+    flush();  // an empty entry marks the end
     return good;
   });
   if (done) snapshot_bytes_ = size;
@@ -350,7 +355,7 @@
   if (!WriteNew("journal", [&](int fd) { return WriteAll(fd, start); })) return false;
   const int fd = open((folder_ + "/journal").c_str(), O_RDWR | O_APPEND | O_CLOEXEC);
   if (fd < 0) {
-    write_failed_ = true;  // what is open has lost its name: nothing may go there any more
+    write_failed_ = true;  // the open file has been replaced, so nothing more may be written to it
     return Fail(folder_ + "/journal");
   }
   if (journal_ >= 0) close(journal_);
@@ -365,7 +370,7 @@
     return true;
   }
   Fail(folder_ + "/journal");
-  // The half entry may not stay before a later whole one.
+  // An incomplete entry must not remain before a later complete one.
   if (disk_.Truncate(journal_, journal_bytes_) != 0 || disk_.Synchronise(journal_) != 0) {
     write_failed_ = true;
     why_ += "; the half entry cannot be cut off";
@@ -385,7 +390,8 @@
 bool ZoneStore::MayWrite() {
   why_.clear();
   if (write_failed_) {
-    why_ = folder_ + " could not be written to before; what it holds stands until the next start";
+    why_ = folder_ +
+           " could not be written to before; no further changes are stored until the next start";
   }
   return !write_failed_;
 }
@@ -401,7 +407,8 @@
   if (signature != nullptr) Remember(*signature);
   zone_.ApplyUnchecked(change);
   if (journal_bytes_ > options_.compact_bytes && journal_bytes_ > snapshot_bytes_) {
-    // The change stands whether or not this succeeds; the journal goes on where it was.
+    // The change is committed whether or not this succeeds; on failure the old journal is
+    // continued.
     if (WriteSnapshot(zone_)) StartJournal();
   }
   return true;
@@ -412,7 +419,8 @@
   if (zone_.has_soa() && zone_.serial() != zone.serial()) {
     return Commit(dns::Difference(zone_, zone));
   }
-  // The journal holds nothing newer than the snapshot then, whether or not it is started anew.
+  // The new number makes the snapshot newer than every journal entry, even if starting a new
+  // journal fails.
   ++entries_;
   if (!WriteSnapshot(zone)) {
     --entries_;
--- a/src/zones/store.hpp
+++ b/src/zones/store.hpp
@@ -1,14 +1,15 @@
-// A zone that outlives its process: a snapshot of its records and a journal of the changes since.
+// Durable storage of a zone: a snapshot of its records and a journal of the changes since then.
 //
-// A change is in the journal, and the disk has confirmed it, before Commit returns true; nothing
-// is applied in memory before. What a kill or a full disk leaves half written is the journal's last
-// entry at most, and is cut off at the next start. A journal that is damaged before its end is
-// refused with the place: to leave out changes silently would bring back what was removed.
+// Commit returns true only after the change has been written to the journal and synchronised; the
+// change is applied in memory only after that. If the process is killed or the disk is full, at
+// most the last entry of the journal is incomplete; it is cut off at the next start. A journal that
+// is damaged before its end is refused with the position of the damage, since skipping changes
+// silently would restore removed records.
 //
-// The folder has `snapshot` and `journal`; new ones are written beside them, synchronised and
-// renamed. Entries are numbered, and a snapshot says up to which one it holds, so that a kill
-// between the two renames repeats nothing. One process at a time holds the folder (a lock on
-// `lock`).
+// The folder contains `snapshot` and `journal`. New versions are written to temporary files,
+// synchronised and renamed. Entries are numbered, and a snapshot contains the number of the last
+// entry it includes, so that no change is repeated if the process is killed between the two
+// renames. Only one process at a time uses the folder (a lock on `lock`).
 #ifndef BRASSFRONT_ZONES_STORE_HPP_
 #define BRASSFRONT_ZONES_STORE_HPP_
 
@@ -32,7 +33,7 @@
   using std::runtime_error::runtime_error;
 };
 
-// The system calls that write, so that tests can make each fail in turn.
+// The system calls that write. Tests replace them to make each one fail in turn.
 class Disk {
  public:
   virtual ~Disk() = default;
@@ -45,29 +46,31 @@
 class ZoneStore {
  public:
   struct Options {
-    // The journal is folded into a new snapshot when it is longer than this and than the snapshot.
+    // The journal is compacted into a new snapshot when it is longer than this and longer than the
+    // snapshot.
     std::size_t compact_bytes = 4 << 20;
-    Disk* disk = nullptr;  // the system's own if null
+    Disk* disk = nullptr;  // null for the system calls themselves
   };
 
-  // Reads what the folder has, and makes it if it is not there. Throws StoreError.
+  // Loads the zone from the folder; creates the folder if it does not exist. Throws StoreError.
   ZoneStore(std::string folder, const dns::Name& origin, Options options);
   ~ZoneStore();
   ZoneStore(const ZoneStore&) = delete;
   ZoneStore& operator=(const ZoneStore&) = delete;
 
-  // Without a SOA if nothing was stored yet.
+  // The zone; it has no SOA if nothing has been stored yet.
   [[nodiscard]] const dns::Zone& zone() const { return zone_; }
-  // At the start, of a last entry that was half written.
+  // Size of the incomplete last journal entry that was cut off at the start.
   [[nodiscard]] std::size_t truncated_bytes() const { return cut_bytes_; }
 
-  // Makes the change durable, with what it was signed with if it was, and then applies it. False,
-  // with nothing changed, if it does not fit the zone or cannot be written: why() tells.
+  // Makes the change durable, with its signature if it is signed, and then applies it. Returns
+  // false and changes nothing if the change does not apply to the zone or cannot be written; why()
+  // returns the reason.
   bool Commit(const dns::Change& change, const dns::UpdateSignature* signature = nullptr);
-  // Of the changes so far, those that may be sent again (within twice the window of time).
+  // Signatures of the changes that could be replayed (within twice the time window).
   [[nodiscard]] const std::deque<dns::UpdateSignature>& signatures() const { return signatures_; }
-  // Puts another zone's data in the place of all, as one change, or as a snapshot if there was no
-  // data yet or nothing leads from one to the other.
+  // Replaces all data with that of another zone: as one change, or as a snapshot if there was no
+  // data yet or both zones have the same serial.
   bool Replace(const dns::Zone& zone);
   [[nodiscard]] const std::string& why() const { return why_; }
 
@@ -93,11 +96,10 @@
   int journal_ = -1;
   std::size_t journal_bytes_ = 0;
   std::size_t snapshot_bytes_ = 0;
-  std::uint64_t entries_ = 0;  // written so far, over all journals
+  std::uint64_t entries_ = 0;  // number of entries written so far, over all journals
   std::deque<dns::UpdateSignature> signatures_;
   std::size_t cut_bytes_ = 0;
-  bool write_failed_ =
-      false;  // what the disk holds cannot be told, so that nothing more may go there
+  bool write_failed_ = false;  // the state of the disk is unknown, so nothing more is written
   std::string why_;
 };
 
