--- a/tests/dns/responder_test.cpp
+++ b/tests/dns/responder_test.cpp
@@ -22,14 +22,14 @@
   return {Name::FromLiteral(name), Algorithm::kHmacSha256, std::string(32, name[0])};
 }
 
-Zone Small(const Name& origin) {
+Zone SmallZone(const Name& origin) {
   return ReadZone(
       {"zone", "$TTL 60\n@ SOA ns h 1 20 10 60 5\n@ NS ns\na A 10.0.0.1\n", "zone"}, origin,
       [](const ZoneText&, const std::string&, std::string&) { return std::optional<ZoneText>(); });
 }
 
-struct Rig {
-  Rig() : primary(Small(kOrigin)), followed(kFollowed) {
+struct ResponderFixture {
+  ResponderFixture() : primary(SmallZone(kOrigin)), followed(kFollowed) {
     responder.AddZone(&primary);
     responder.AddZone(&followed);
     KeyRing keys;
@@ -91,53 +91,53 @@
 }
 
 TEST_CASE("queries: in a zone, in none, in one that is not there yet") {
-  Rig rig;
-  const Message answer = rig.Ask(Query("A.Example."));
+  ResponderFixture fixture;
+  const Message answer = fixture.Ask(Query("A.Example."));
   CHECK(answer.authoritative);
   CHECK(answer.recursion_desired);
   CHECK_FALSE(answer.recursion_available);
   CHECK(answer.answer.size() == 1);
-  CHECK(rig.Ask(Query("gone.example.")).rcode == Rcode::kNxDomain);
-  CHECK(rig.Ask(Query("a.other.")).rcode == Rcode::kRefused);
-  CHECK(rig.Ask(Query("a.followed.")).rcode == Rcode::kServFail);
+  CHECK(fixture.Ask(Query("gone.example.")).rcode == Rcode::kNxDomain);
+  CHECK(fixture.Ask(Query("a.other.")).rcode == Rcode::kRefused);
+  CHECK(fixture.Ask(Query("a.followed.")).rcode == Rcode::kServFail);
   std::string why;
-  REQUIRE(rig.followed.Replace(Small(kFollowed), why));
-  CHECK(rig.Ask(Query("a.followed.")).answer.size() == 1);
-  rig.followed.set_expired(true);
-  CHECK(rig.Ask(Query("a.followed.")).rcode == Rcode::kServFail);
+  REQUIRE(fixture.followed.Replace(SmallZone(kFollowed), why));
+  CHECK(fixture.Ask(Query("a.followed.")).answer.size() == 1);
+  fixture.followed.set_expired(true);
+  CHECK(fixture.Ask(Query("a.followed.")).rcode == Rcode::kServFail);
   Message two = Query("a.example.");
   two.question.push_back(two.question[0]);
-  CHECK(rig.Ask(two).rcode == Rcode::kFormErr);
+  CHECK(fixture.Ask(two).rcode == Rcode::kFormErr);
   Message edns = Query("a.example.");
   edns.edns.emplace().version = 1;
-  CHECK(rig.Ask(edns).rcode == Rcode::kBadVers);
+  CHECK(fixture.Ask(edns).rcode == Rcode::kBadVers);
   Message odd = Query("a.example.");
   odd.opcode = static_cast<Opcode>(2);
-  CHECK(rig.Ask(odd).rcode == Rcode::kNotImp);
+  CHECK(fixture.Ask(odd).rcode == Rcode::kNotImp);
   Message response = Query("a.example.");
   response.response = true;
-  CHECK(rig.responder.Answer(Encode(response), true, kNow).messages.empty());
+  CHECK(fixture.responder.Answer(Encode(response), true, kNow).messages.empty());
 }
 
 TEST_CASE("by UDP an answer is cut to what the asker takes, signed or not") {
-  Rig rig;
+  ResponderFixture fixture;
   std::string why;
   for (int n = 0; n < 100; ++n) {
-    Change change{{rig.primary.zone().Soa()}, {rig.primary.zone().Soa()}};
-    change.added[0].rdata = WithSerial(change.added[0].rdata, rig.primary.zone().serial() + 1);
+    Change change{{fixture.primary.zone().Soa()}, {fixture.primary.zone().Soa()}};
+    change.added[0].rdata = WithSerial(change.added[0].rdata, fixture.primary.zone().serial() + 1);
     change.added.push_back({Name::FromLiteral("a.example."), type::kA, klass::kIn, 60,
                             std::string("\1\1\1") + static_cast<char>(n)});
-    REQUIRE(rig.primary.Commit(change, nullptr, why));
+    REQUIRE(fixture.primary.Commit(change, nullptr, why));
   }
-  CHECK(rig.Ask(Query("a.example."), false).truncated);
-  CHECK_FALSE(rig.Ask(Query("a.example."), true).truncated);
+  CHECK(fixture.Ask(Query("a.example."), false).truncated);
+  CHECK_FALSE(fixture.Ask(Query("a.example."), true).truncated);
   for (const unsigned size : {0u, 512u, 900u, 1232u, 4096u}) {
     Message query = Query("a.example.");
     if (size > 0) query.edns.emplace().udp_bytes = static_cast<std::uint16_t>(size);
     const std::size_t most = std::min<std::size_t>(std::max(size, 512u), kUdpBytes);
-    CHECK(rig.responder.Answer(Encode(query), false, kNow).messages[0].size() <= most);
+    CHECK(fixture.responder.Answer(Encode(query), false, kNow).messages[0].size() <= most);
     TsigSession session(KeyNamed("reader."));
-    const auto reply = rig.responder.Answer(session.Sign(Encode(query), kNow), false, kNow);
+    const auto reply = fixture.responder.Answer(session.Sign(Encode(query), kNow), false, kNow);
     CHECK(reply.messages[0].size() <= most);
     CHECK(session.Check(reply.messages[0], *Decode(reply.messages[0]).message, kNow) ==
           TsigError::kNone);
@@ -145,67 +145,67 @@
 }
 
 TEST_CASE("transfers are for those who may, and by TCP") {
-  Rig rig;
-  CHECK(rig.Ask(Query("example.", type::kAxfr)).rcode == Rcode::kRefused);
-  CHECK(rig.Ask(Query("a.example.", type::kAxfr)).rcode == Rcode::kNotAuth);
+  ResponderFixture fixture;
+  CHECK(fixture.Ask(Query("example.", type::kAxfr)).rcode == Rcode::kRefused);
+  CHECK(fixture.Ask(Query("a.example.", type::kAxfr)).rcode == Rcode::kNotAuth);
   TsigSession session(KeyNamed("reader."));
   const std::string request = session.Sign(Encode(Query("example.", type::kAxfr)), kNow);
-  CHECK(rig.Signed(request, session) == "NOERROR");
-  CHECK(rig.event.starts_with("sent AXFR of example."));
-  const auto reply = rig.responder.Answer(request, false, kNow);
+  CHECK(fixture.Signed(request, session) == "NOERROR");
+  CHECK(fixture.event.starts_with("sent AXFR of example."));
+  const auto reply = fixture.responder.Answer(request, false, kNow);
   CHECK(Decode(reply.messages[0]).message->rcode == Rcode::kFormErr);
 }
 
 TEST_CASE("updates: signed by who may, kept before they are confirmed") {
-  Rig rig;
-  CHECK(rig.Ask(Add("b.example.")).rcode == Rcode::kRefused);
+  ResponderFixture fixture;
+  CHECK(fixture.Ask(Add("b.example.")).rcode == Rcode::kRefused);
   TsigSession reader(KeyNamed("reader."));
-  CHECK(rig.Signed(reader.Sign(Encode(Add("b.example.")), kNow), reader) == "REFUSED");
+  CHECK(fixture.Signed(reader.Sign(Encode(Add("b.example.")), kNow), reader) == "REFUSED");
   TsigSession stranger(KeyNamed("stranger."));
-  CHECK(rig.Signed(stranger.Sign(Encode(Add("b.example.")), kNow), stranger) ==
+  CHECK(fixture.Signed(stranger.Sign(Encode(Add("b.example.")), kNow), stranger) ==
         "NOTAUTH unsigned with error");
-  CHECK(rig.primary.zone().serial() == 1);
+  CHECK(fixture.primary.zone().serial() == 1);
   TsigSession writer(KeyNamed("writer."));
-  CHECK(rig.Signed(writer.Sign(Encode(Add("b.example.")), kNow), writer) == "NOERROR");
-  CHECK(rig.event == "updated example. to serial 2");
+  CHECK(fixture.Signed(writer.Sign(Encode(Add("b.example.")), kNow), writer) == "NOERROR");
+  CHECK(fixture.event == "updated example. to serial 2");
   Message followed = Add("b.followed.");
   followed.question[0].name = kFollowed;
   TsigSession again(KeyNamed("writer."));
-  CHECK(rig.Signed(again.Sign(Encode(followed), kNow), again) == "REFUSED");
+  CHECK(fixture.Signed(again.Sign(Encode(followed), kNow), again) == "REFUSED");
 }
 
 TEST_CASE("a clock off by ten minutes: BADTIME, signed, and nothing is done") {
-  Rig rig;
+  ResponderFixture fixture;
   for (const std::uint64_t now : {kNow - 600, kNow + 600}) {
     TsigSession writer(KeyNamed("writer."));
-    CHECK(rig.Signed(writer.Sign(Encode(Add("b.example.")), kNow), writer, now) ==
+    CHECK(fixture.Signed(writer.Sign(Encode(Add("b.example.")), kNow), writer, now) ==
           "NOTAUTH with error");
-    CHECK(rig.event == "refused: BADTIME with key writer.");
+    CHECK(fixture.event == "refused: BADTIME with key writer.");
   }
-  CHECK(rig.primary.zone().serial() == 1);
+  CHECK(fixture.primary.zone().serial() == 1);
 }
 
 TEST_CASE("an update that is sent again does nothing again") {
-  Rig rig;
+  ResponderFixture fixture;
   TsigSession first(KeyNamed("writer."));
   const std::string add = first.Sign(Encode(Add("b.example.")), kNow);
   TsigSession second(KeyNamed("writer."));
   const std::string remove = second.Sign(Encode(Remove("b.example.")), kNow);
-  CHECK(rig.Signed(add, first) == "NOERROR");
-  CHECK(rig.Signed(remove, second) == "NOERROR");
-  CHECK(rig.primary.zone().serial() == 3);
+  CHECK(fixture.Signed(add, first) == "NOERROR");
+  CHECK(fixture.Signed(remove, second) == "NOERROR");
+  CHECK(fixture.primary.zone().serial() == 3);
   // Its key's name in other letters is no other signature.
   std::string shouted = add;
   const auto at = shouted.rfind("\6writer");
   REQUIRE(at != std::string::npos);
   shouted[at + 1] = 'W';
   for (const auto& bytes : {add, shouted}) {
-    CHECK(rig.Signed(bytes, first, kNow + 200) == "NOERROR");
-    CHECK(rig.event == "an update that was answered before");
+    CHECK(fixture.Signed(bytes, first, kNow + 200) == "NOERROR");
+    CHECK(fixture.event == "an update that was answered before");
   }
-  CHECK(rig.primary.zone().serial() == 3);
-  CHECK(rig.primary.zone().Find(Name::FromLiteral("b.example.")) == nullptr);
-  CHECK(rig.Signed(add, first, kNow + 301) == "NOTAUTH with error");
+  CHECK(fixture.primary.zone().serial() == 3);
+  CHECK(fixture.primary.zone().Find(Name::FromLiteral("b.example.")) == nullptr);
+  CHECK(fixture.Signed(add, first, kNow + 301) == "NOTAUTH with error");
 }
 
 TEST_CASE("witnesses end with their window, and are bounded") {
@@ -234,42 +234,42 @@
 };
 
 TEST_CASE("an update that cannot be kept is refused, and may be sent again") {
-  Rig rig;
-  FullDisk full(Small(kOrigin));
-  rig.responder.AddZone(&full);
+  ResponderFixture fixture;
+  FullDisk full(SmallZone(kOrigin));
+  fixture.responder.AddZone(&full);
   TsigSession writer(KeyNamed("writer."));
   const std::string add = writer.Sign(Encode(Add("b.example.")), kNow);
-  CHECK(rig.Signed(add, writer) == "SERVFAIL");
-  rig.responder.AddZone(&rig.primary);
-  CHECK(rig.Signed(add, writer) == "NOERROR");
-  CHECK(rig.primary.zone().serial() == 2);
+  CHECK(fixture.Signed(add, writer) == "SERVFAIL");
+  fixture.responder.AddZone(&fixture.primary);
+  CHECK(fixture.Signed(add, writer) == "NOERROR");
+  CHECK(fixture.primary.zone().serial() == 2);
 }
 
 TEST_CASE("notices are for zones that are followed") {
-  Rig rig;
+  ResponderFixture fixture;
   Message notice = Query("example.", type::kSoa);
   notice.opcode = Opcode::kNotify;
-  CHECK(rig.Ask(notice).rcode == Rcode::kNotAuth);
+  CHECK(fixture.Ask(notice).rcode == Rcode::kNotAuth);
   notice.question[0].name = kFollowed;
-  notice.answer = {Small(kFollowed).Soa()};
-  const auto reply = rig.responder.Answer(Encode(notice), false, kNow);
+  notice.answer = {SmallZone(kFollowed).Soa()};
+  const auto reply = fixture.responder.Answer(Encode(notice), false, kNow);
   REQUIRE(reply.notified != nullptr);
   CHECK(*reply.notified == kFollowed);
   CHECK(reply.notified_serial == 1);
 }
 
 TEST_CASE("a flood of bad packets changes nothing") {
-  Rig rig;
+  ResponderFixture fixture;
   TsigSession writer(KeyNamed("writer."));
   const std::string add = writer.Sign(Encode(Add("b.example.")), kNow);
   for (std::uint32_t seed = 0; seed < 20 * testing::kRounds; ++seed) {
     const std::string garbage = testing::Garbage(add, seed);
     if (garbage == add || garbage.substr(2) == add.substr(2)) continue;
-    const auto reply = rig.responder.Answer(garbage, seed % 2 == 0, kNow);
+    const auto reply = fixture.responder.Answer(garbage, seed % 2 == 0, kNow);
     REQUIRE(reply.changed == nullptr);
     REQUIRE(reply.messages.size() <= 1);
   }
-  CHECK(rig.primary.zone().serial() == 1);
+  CHECK(fixture.primary.zone().serial() == 1);
 }
 
 }  // namespace
--- a/tests/dns/store_test.cpp
+++ b/tests/dns/store_test.cpp
@@ -49,7 +49,7 @@
           60, rdata};
 }
 
-Zone First() {
+Zone InitialZone() {
   Zone zone(kOrigin);
   std::string soa =
       Name::FromLiteral("ns.example.").wire() + Name::FromLiteral("h.example.").wire();
@@ -60,7 +60,7 @@
 }
 
 // Serial s has the addresses 2 to s, but for those that 3 divides once s is beyond them by 3.
-Change Next(const Zone& zone) {
+Change NextChange(const Zone& zone) {
   Change change{{zone.Soa()}, {zone.Soa()}};
   const auto serial = static_cast<int>(zone.serial()) + 1;
   change.added[0].rdata = dns::WithSerial(change.added[0].rdata, static_cast<unsigned>(serial));
@@ -69,7 +69,7 @@
   return change;
 }
 
-void CheckWhole(const Zone& zone) {
+void CheckZone(const Zone& zone) {
   const auto serial = static_cast<int>(zone.serial());
   std::size_t expected = 2;
   for (int n = 2; n <= serial; ++n) {
@@ -80,12 +80,12 @@
   REQUIRE(zone.records() == expected);
 }
 
-std::string Bytes(const std::string& path) {
+std::string ReadFile(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-void Put(const std::string& path, const std::string& bytes) {
+void WriteFile(const std::string& path, const std::string& bytes) {
   std::ofstream(path, std::ios::binary | std::ios::trunc) << bytes;
 }
 
@@ -95,11 +95,11 @@
     ZoneStore store(folder / "zone", kOrigin, {.compact_bytes = 2000});
     if (start == 0) {
       CHECK_FALSE(store.zone().has_soa());
-      REQUIRE(store.Replace(First()));
+      REQUIRE(store.Replace(InitialZone()));
     }
     CHECK(store.zone().serial() == static_cast<unsigned>(1 + 20 * start));
-    CheckWhole(store.zone());
-    for (int n = 0; n < 20; ++n) REQUIRE(store.Commit(Next(store.zone())));
+    CheckZone(store.zone());
+    for (int n = 0; n < 20; ++n) REQUIRE(store.Commit(NextChange(store.zone())));
   }
   CHECK(fs::file_size(folder / "zone/journal") < 20000);
   // A second process, or store, may not hold it too.
@@ -112,10 +112,10 @@
   const Folder folder;
   for (std::uint64_t start = 0; start < 4; ++start) {
     ZoneStore store(folder.path(), kOrigin, {.compact_bytes = 700});
-    if (start == 0) REQUIRE(store.Replace(First()));
+    if (start == 0) REQUIRE(store.Replace(InitialZone()));
     for (std::uint64_t n = 0; n < 10; ++n) {
       const dns::UpdateSignature by{"mac" + std::to_string(start * 10 + n), 1000 + start * 10 + n};
-      REQUIRE(store.Commit(Next(store.zone()), n % 2 == 0 ? &by : nullptr));
+      REQUIRE(store.Commit(NextChange(store.zone()), n % 2 == 0 ? &by : nullptr));
     }
     REQUIRE(store.signatures().size() == 5 * (start + 1));
   }
@@ -124,26 +124,26 @@
   CHECK(store.signatures().front().mac == "mac0");
   CHECK(store.signatures().back().signed_at == 1038);
   const dns::UpdateSignature late{"late", 1000 + 2 * dns::kFudgeSeconds + 11};
-  REQUIRE(store.Commit(Next(store.zone()), &late));
+  REQUIRE(store.Commit(NextChange(store.zone()), &late));
   CHECK(store.signatures().front().mac == "mac12");
-  CheckWhole(store.zone());
+  CheckZone(store.zone());
 }
 
 TEST_CASE("a change that does not fit is refused and leaves no trace") {
   const Folder folder;
   ZoneStore store(folder.path(), kOrigin, {});
-  REQUIRE(store.Replace(First()));
-  Change change = Next(store.zone());
+  REQUIRE(store.Replace(InitialZone()));
+  Change change = NextChange(store.zone());
   REQUIRE(store.Commit(change));
-  const std::string before = Bytes(folder / "journal");
+  const std::string before = ReadFile(folder / "journal");
   CHECK_FALSE(store.Commit(change));
   CHECK(store.why() == "the change does not start from what the zone holds");
-  CHECK(Bytes(folder / "journal") == before);
+  CHECK(ReadFile(folder / "journal") == before);
 }
 
 TEST_CASE("a hundred kills: all that was confirmed is there, and nothing half done") {
   const Folder folder;
-  { REQUIRE(ZoneStore(folder.path(), kOrigin, {}).Replace(First())); }
+  { REQUIRE(ZoneStore(folder.path(), kOrigin, {}).Replace(InitialZone())); }
   std::mt19937 random(9);
   std::uint32_t last = 1;
   for (int kill_number = 0; kill_number < 100; ++kill_number) {
@@ -153,7 +153,7 @@
     if (child == 0) {
       close(pipe_ends[0]);
       ZoneStore store(folder.path(), kOrigin, {.compact_bytes = 3000});
-      while (store.Commit(Next(store.zone()))) {
+      while (store.Commit(NextChange(store.zone()))) {
         const std::uint32_t serial = store.zone().serial();
         if (write(pipe_ends[1], &serial, sizeof serial) != sizeof serial) break;
       }
@@ -175,7 +175,7 @@
     REQUIRE(store.zone().serial() <= confirmed + 1);
     REQUIRE(confirmed > last);
     last = confirmed;
-    CheckWhole(store.zone());
+    CheckZone(store.zone());
   }
 }
 
@@ -184,24 +184,24 @@
   std::vector<std::size_t> ends;
   {
     ZoneStore store(folder.path(), kOrigin, {});
-    REQUIRE(store.Replace(First()));
+    REQUIRE(store.Replace(InitialZone()));
     for (int n = 0; n < 6; ++n) {
       ends.push_back(fs::file_size(folder / "journal"));
-      REQUIRE(store.Commit(Next(store.zone())));
+      REQUIRE(store.Commit(NextChange(store.zone())));
     }
   }
-  const std::string whole = Bytes(folder / "journal");
+  const std::string whole = ReadFile(folder / "journal");
   for (std::size_t size = ends[0]; size < whole.size(); ++size) {
-    Put(folder / "journal", whole.substr(0, size));
+    WriteFile(folder / "journal", whole.substr(0, size));
     std::size_t entries = 0;
     while (entries + 1 < ends.size() && ends[entries + 1] <= size) ++entries;
     ZoneStore store(folder.path(), kOrigin, {});
     REQUIRE(store.zone().serial() == 1 + entries);
     REQUIRE(store.truncated_bytes() == size - ends[entries]);
-    CheckWhole(store.zone());
-    REQUIRE(store.Commit(Next(store.zone())));
+    CheckZone(store.zone());
+    REQUIRE(store.Commit(NextChange(store.zone())));
   }
-  Put(folder / "journal", whole.substr(0, ends[0] - 1));
+  WriteFile(folder / "journal", whole.substr(0, ends[0] - 1));
   CHECK_THROWS_AS(ZoneStore(folder.path(), kOrigin, {}), StoreError);
 }
 
@@ -209,24 +209,24 @@
   const Folder folder;
   {
     ZoneStore store(folder.path(), kOrigin, {});
-    REQUIRE(store.Replace(First()));
-    for (int n = 0; n < 3; ++n) REQUIRE(store.Commit(Next(store.zone())));
+    REQUIRE(store.Replace(InitialZone()));
+    for (int n = 0; n < 3; ++n) REQUIRE(store.Commit(NextChange(store.zone())));
   }
   for (const char* name : {"journal", "snapshot"}) {
-    const std::string whole = Bytes(folder / name);
+    const std::string whole = ReadFile(folder / name);
     for (std::size_t bit = 0; bit < whole.size() * 8; bit += 3) {
       std::string flipped = whole;
       flipped[bit / 8] = static_cast<char>(flipped[bit / 8] ^ (1 << bit % 8));
-      Put(folder / name, flipped);
+      WriteFile(folder / name, flipped);
       try {
         const ZoneStore store(folder.path(), kOrigin, {});
         // The journal's last entry may pass for one that was cut short.
         REQUIRE(std::string(name) == "journal");
         REQUIRE(store.zone().serial() == 3);
-        CheckWhole(store.zone());
+        CheckZone(store.zone());
       } catch (const StoreError&) {
       }
-      Put(folder / name, whole);
+      WriteFile(folder / name, whole);
     }
   }
   const ZoneStore store(folder.path(), kOrigin, {});
@@ -235,11 +235,11 @@
 
 TEST_CASE("files of another zone or version are refused with their name") {
   const Folder folder;
-  { REQUIRE(ZoneStore(folder.path(), kOrigin, {}).Replace(First())); }
+  { REQUIRE(ZoneStore(folder.path(), kOrigin, {}).Replace(InitialZone())); }
   CHECK_THROWS_AS(ZoneStore(folder.path(), Name::FromLiteral("other."), {}), StoreError);
-  std::string snapshot = Bytes(folder / "snapshot");
+  std::string snapshot = ReadFile(folder / "snapshot");
   snapshot.replace(snapshot.find(" 1\n"), 3, " 2\n");
-  Put(folder / "snapshot", snapshot);
+  WriteFile(folder / "snapshot", snapshot);
   CHECK_THROWS_WITH_AS(
       ZoneStore(folder.path(), kOrigin, {}),
       (folder / "snapshot" + " is no snapshot of example. in this version's format").c_str(),
@@ -299,7 +299,7 @@
         CAPTURE(ends_soon);
         REQUIRE(at < 500);
         const Folder folder;
-        { REQUIRE(ZoneStore(folder.path(), kOrigin, {}).Replace(First())); }
+        { REQUIRE(ZoneStore(folder.path(), kOrigin, {}).Replace(InitialZone())); }
         FailingDisk disk(at, count, again);
         std::uint32_t confirmed = 1;
         bool refused = false;
@@ -308,7 +308,7 @@
           bool over = false;
           for (int n = 0; n < 15 && !over; ++n) {
             const bool before = disk.reached();
-            if (store.Commit(Next(store.zone()))) {
+            if (store.Commit(NextChange(store.zone()))) {
               confirmed = store.zone().serial();
               over = ends_soon && before;
             } else {
@@ -323,7 +323,7 @@
         // What was refused may still be there, if the disk took it and could not say so.
         REQUIRE(store.zone().serial() >= confirmed);
         REQUIRE(store.zone().serial() <= confirmed + (refused ? 1 : 0));
-        CheckWhole(store.zone());
+        CheckZone(store.zone());
       }
     }
   }
@@ -332,9 +332,9 @@
 TEST_CASE("replacing a zone: as a change, or whole where no serial leads there") {
   const Folder folder;
   ZoneStore store(folder.path(), kOrigin, {});
-  REQUIRE(store.Replace(First()));
-  for (int n = 0; n < 5; ++n) REQUIRE(store.Commit(Next(store.zone())));
-  Zone other = First();
+  REQUIRE(store.Replace(InitialZone()));
+  for (int n = 0; n < 5; ++n) REQUIRE(store.Commit(NextChange(store.zone())));
+  Zone other = InitialZone();
   other.Add(Address(99));
   REQUIRE(store.Replace(other));  // serial 1 again: by difference, though it is older
   CHECK(store.zone().Holds(Address(99)));
@@ -343,21 +343,21 @@
   REQUIRE(store.Replace(other));  // the same serial with other data
   CHECK(store.zone().Holds(Address(98)));
   CHECK_FALSE(store.zone().ChangesSince(6));
-  REQUIRE(store.Commit(Next(store.zone())));
+  REQUIRE(store.Commit(NextChange(store.zone())));
 }
 
 TEST_CASE("zone files: includes stay inside the folder, and a missing file is told") {
   const Folder folder;
   fs::create_directories(folder / "zones/parts");
   const std::string top = "$TTL 60\n@ SOA ns h 1 2 3 4 5\n@ NS ns\n";
-  Put(folder / "secret", "x A 10.0.0.9\n");
-  Put(folder / "zones/parts/a", "a A 10.0.0.1\n$INCLUDE b\n$INCLUDE ../c\n");
-  Put(folder / "zones/parts/b", "b A 10.0.0.2\n");
-  Put(folder / "zones/c", "c A 10.0.0.3\n");
+  WriteFile(folder / "secret", "x A 10.0.0.9\n");
+  WriteFile(folder / "zones/parts/a", "a A 10.0.0.1\n$INCLUDE b\n$INCLUDE ../c\n");
+  WriteFile(folder / "zones/parts/b", "b A 10.0.0.2\n");
+  WriteFile(folder / "zones/c", "c A 10.0.0.3\n");
   fs::create_symlink(folder / "secret", folder / "zones/link");
   const std::string zone_path = folder / "zones/zone";
   const auto load = [&](const std::string& text) -> std::string {
-    Put(zone_path, top + text);
+    WriteFile(zone_path, top + text);
     try {
       return std::to_string(LoadZone(zone_path, kOrigin).records());
     } catch (const dns::InvalidZone& bad) {
--- a/tests/dns/transfer_test.cpp
+++ b/tests/dns/transfer_test.cpp
@@ -15,7 +15,7 @@
 const Name kOrigin = Name::FromLiteral("example.");
 constexpr std::uint64_t kNow = 1'800'000'000;
 
-Zone Big(int hosts) {
+Zone ZoneWithHosts(int hosts) {
   std::string text = "$TTL 60\n@ SOA ns h 1 20 10 60 5\n@ NS ns\n";
   for (int n = 0; n < hosts; ++n) {
     text += "h" + std::to_string(n) + " A 10.0." + std::to_string(n / 256) + "." +
@@ -27,7 +27,7 @@
 }
 
 // Changes the address of some hosts.
-void Change1(Zone& zone, std::mt19937& random) {
+void ChangeRandomHost(Zone& zone, std::mt19937& random) {
   Change change{{zone.Soa()}, {zone.Soa()}};
   change.added[0].rdata = WithSerial(change.added[0].rdata, zone.serial() + 1);
   const auto n = random() % 50;
@@ -68,7 +68,7 @@
   return exchange.reader.Interrupted("the end");
 }
 
-std::string WhyNot(const TransferResult& result) {
+std::string FailureOf(const TransferResult& result) {
   const auto* unfit = std::get_if<ValidationError>(&result);
   return unfit != nullptr ? unfit->why : "";
 }
@@ -79,12 +79,12 @@
 }
 
 TEST_CASE("a whole zone over many messages, signed and not") {
-  const Zone zone = Big(3000);
+  const Zone zone = ZoneWithHosts(3000);
   for (const bool with_key : {false, true}) {
     Exchange exchange = Begin(zone, std::nullopt, with_key);
     CHECK(exchange.messages.size() > 3);
     const TransferResult result = Run(exchange);
-    CAPTURE(WhyNot(result));
+    CAPTURE(FailureOf(result));
     REQUIRE(std::holds_alternative<FullZone>(result));
     CHECK(SameZone(std::get<FullZone>(result).zone, zone));
   }
@@ -92,16 +92,16 @@
 
 TEST_CASE("changes since a serial, from each that is remembered; the whole for others") {
   std::mt19937 random(5);
-  Zone zone = Big(50);
+  Zone zone = ZoneWithHosts(50);
   std::vector<Zone> past;
   for (int n = 0; n < 30; ++n) {
     past.push_back(zone);
-    Change1(zone, random);
+    ChangeRandomHost(zone, random);
   }
   for (const Zone& before : past) {
     Exchange exchange = Begin(zone, before.Soa(), true);
     const TransferResult result = Run(exchange);
-    CAPTURE(WhyNot(result));
+    CAPTURE(FailureOf(result));
     REQUIRE(std::holds_alternative<Changes>(result));
     Zone after = before;
     for (const Change& change : std::get<Changes>(result).changes) REQUIRE(after.Apply(change));
@@ -120,14 +120,14 @@
 
 TEST_CASE("by UDP: what fits, or the SOA alone") {
   std::mt19937 random(5);
-  Zone zone = Big(50);
+  Zone zone = ZoneWithHosts(50);
   const Record first = zone.Soa();
-  Change1(zone, random);
+  ChangeRandomHost(zone, random);
   const Message small = TransferRequest(kOrigin, first, 1);
   auto messages = TransferAnswer(zone, small, false, 512, nullptr, kNow);
   REQUIRE(messages.size() == 1);
   CHECK(Decode(messages[0]).message->answer.size() > 1);
-  for (int n = 0; n < 50; ++n) Change1(zone, random);
+  for (int n = 0; n < 50; ++n) ChangeRandomHost(zone, random);
   messages = TransferAnswer(zone, small, false, 512, nullptr, kNow);
   REQUIRE(messages.size() == 1);
   CHECK(messages[0].size() <= 512);
@@ -135,22 +135,22 @@
 }
 
 TEST_CASE("half a transfer comes to nothing, wherever it ends") {
-  const Zone zone = Big(3000);
+  const Zone zone = ZoneWithHosts(3000);
   Exchange whole = Begin(zone, std::nullopt, true);
   for (std::size_t parts = 0; parts < whole.messages.size(); ++parts) {
     Exchange exchange = Begin(zone, std::nullopt, true);
     exchange.messages.resize(parts);
-    CHECK(WhyNot(Run(exchange)).starts_with("cut short after"));
+    CHECK(FailureOf(Run(exchange)).starts_with("cut short after"));
   }
   // One message left out, in the middle.
   Exchange exchange = Begin(zone, std::nullopt, true);
   exchange.messages.erase(exchange.messages.begin() + 1);
-  CHECK(WhyNot(Run(exchange)) == "the signature does not hold: BADVERS/BADSIG");
+  CHECK(FailureOf(Run(exchange)) == "the signature does not hold: BADVERS/BADSIG");
 }
 
 TEST_CASE(
     "unsigned messages in the middle are vouched for by the next; the last one must be signed") {
-  const Zone zone = Big(3000);
+  const Zone zone = ZoneWithHosts(3000);
   for (const bool last_signed : {true, false}) {
     const Message request = TransferRequest(kOrigin, std::nullopt, 99);
     TsigSession client(SomeKey());
@@ -172,53 +172,54 @@
       done = reader.Take(bytes, kNow);
       REQUIRE(done.has_value() == last);
     }
-    CAPTURE(WhyNot(*done));
+    CAPTURE(FailureOf(*done));
     CHECK(std::holds_alternative<FullZone>(*done) == last_signed);
-    if (!last_signed) CHECK(WhyNot(*done) == "its last message is not signed");
+    if (!last_signed) CHECK(FailureOf(*done) == "its last message is not signed");
   }
 }
 
-std::string WhyNotRecords(const std::vector<Record>& records, const std::optional<Record>& have) {
+std::string FailureOfRecords(const std::vector<Record>& records,
+                             const std::optional<Record>& have) {
   Message message = ReplyTo(TransferRequest(kOrigin, have, 99), Rcode::kNoError);
   message.answer = records;
   TransferReader reader(kOrigin, have, 99, std::nullopt);
   const auto done = reader.Take(Encode(message), kNow);
-  return done ? WhyNot(*done) : "more is awaited";
+  return done ? FailureOf(*done) : "more is awaited";
 }
 
 Record Soa(std::uint32_t serial) {
-  Record soa = Big(0).Soa();
+  Record soa = ZoneWithHosts(0).Soa();
   soa.rdata = WithSerial(soa.rdata, serial);
   return soa;
 }
 
 TEST_CASE("a primary that lies is not believed") {
-  const Record ns = Big(0).RecordsOf(kOrigin).at(0);
+  const Record ns = ZoneWithHosts(0).RecordsOf(kOrigin).at(0);
   const Record a{Name::FromLiteral("a.example."), type::kA, klass::kIn, 1, "\1\2\3\4"};
   Record outside = a;
   outside.name = Name::FromLiteral("a.other.");
-  Record not_ns = ns.type == type::kNs ? ns : Big(0).RecordsOf(kOrigin).at(1);
-  CHECK(WhyNotRecords({Soa(5), not_ns, a, Soa(5)}, std::nullopt) == "");
-  CHECK(WhyNotRecords({a}, std::nullopt) == "it does not begin with the SOA");
-  CHECK(WhyNotRecords({Soa(5), outside}, std::nullopt).starts_with("a record that is none"));
-  CHECK(WhyNotRecords({Soa(5), not_ns, Soa(6)}, std::nullopt) ==
+  Record not_ns = ns.type == type::kNs ? ns : ZoneWithHosts(0).RecordsOf(kOrigin).at(1);
+  CHECK(FailureOfRecords({Soa(5), not_ns, a, Soa(5)}, std::nullopt) == "");
+  CHECK(FailureOfRecords({a}, std::nullopt) == "it does not begin with the SOA");
+  CHECK(FailureOfRecords({Soa(5), outside}, std::nullopt).starts_with("a record that is none"));
+  CHECK(FailureOfRecords({Soa(5), not_ns, Soa(6)}, std::nullopt) ==
         "the zone changed during the transfer");
-  CHECK(WhyNotRecords({Soa(5), not_ns, Soa(5), a}, std::nullopt) == "records after its end");
-  CHECK(WhyNotRecords({Soa(5), a, Soa(5)}, std::nullopt) == "no whole zone: no NS at example.");
-  CHECK(WhyNotRecords({Soa(5), not_ns, a}, std::nullopt) == "more is awaited");
+  CHECK(FailureOfRecords({Soa(5), not_ns, Soa(5), a}, std::nullopt) == "records after its end");
+  CHECK(FailureOfRecords({Soa(5), a, Soa(5)}, std::nullopt) == "no whole zone: no NS at example.");
+  CHECK(FailureOfRecords({Soa(5), not_ns, a}, std::nullopt) == "more is awaited");
   // It says that it is newer and then sends what is not.
-  CHECK(WhyNotRecords({Soa(4), not_ns, Soa(4)}, Soa(4)).find("not newer than 4") !=
+  CHECK(FailureOfRecords({Soa(4), not_ns, Soa(4)}, Soa(4)).find("not newer than 4") !=
         std::string::npos);
-  CHECK(WhyNotRecords({Soa(9), Soa(3), a, Soa(9), Soa(9)}, Soa(4)) ==
+  CHECK(FailureOfRecords({Soa(9), Soa(3), a, Soa(9), Soa(9)}, Soa(4)) ==
         "its changes begin at another serial");
-  CHECK(WhyNotRecords({Soa(9), Soa(4), a, Soa(3)}, Soa(4)) ==
+  CHECK(FailureOfRecords({Soa(9), Soa(4), a, Soa(3)}, Soa(4)) ==
         "its changes lead to an older serial");
-  CHECK(WhyNotRecords({Soa(9), Soa(4), a, Soa(6), Soa(7)}, Soa(4)) ==
+  CHECK(FailureOfRecords({Soa(9), Soa(4), a, Soa(6), Soa(7)}, Soa(4)) ==
         "a change that does not start where the last one ended");
-  CHECK(WhyNotRecords({Soa(9), Soa(4), a, Soa(9), Soa(10)}, Soa(4)) ==
+  CHECK(FailureOfRecords({Soa(9), Soa(4), a, Soa(9), Soa(10)}, Soa(4)) ==
         "changes beyond the newest serial");
-  CHECK(WhyNotRecords({Soa(9), Soa(4), a, Soa(9), Soa(9)}, Soa(4)) == "");
-  CHECK(WhyNotRecords({Soa(9), Soa(4), a, Soa(9)}, Soa(4)) == "more is awaited");
+  CHECK(FailureOfRecords({Soa(9), Soa(4), a, Soa(9), Soa(9)}, Soa(4)) == "");
+  CHECK(FailureOfRecords({Soa(9), Soa(4), a, Soa(9)}, Soa(4)) == "more is awaited");
   Message refusal = ReplyTo(TransferRequest(kOrigin, Soa(4), 99), Rcode::kNotImp);
   TransferReader reader(kOrigin, Soa(4), 99, std::nullopt);
   const auto done = reader.Take(Encode(refusal), kNow);
@@ -227,56 +228,56 @@
   TransferReader bounded(kOrigin, std::nullopt, 99, std::nullopt, 3);
   Message much = ReplyTo(TransferRequest(kOrigin, std::nullopt, 99), Rcode::kNoError);
   much.answer = {Soa(1), not_ns, a, a};
-  CHECK(WhyNot(*bounded.Take(Encode(much), kNow)) == "more records than are kept");
+  CHECK(FailureOf(*bounded.Take(Encode(much), kNow)) == "more records than are kept");
 }
 
 constexpr SoaTimers kTimers{20, 5, 100};
 using Step = ZoneTransferSession::Step;
 
 TEST_CASE("the follower asks by the SOA's timers") {
-  ZoneTransferSession follower(0);
-  CHECK(follower.NextStep(0) == Step::kTransfer);  // nothing is held: no question first
-  CHECK(follower.NextStep(0) == Step::kNothing);
-  follower.OnFailure(1);
-  CHECK(follower.NextStep(1) == Step::kNothing);
-  CHECK(follower.NextStepTime() == 1 + ZoneTransferSession::kFirstRetry);
-  CHECK(follower.NextStep(2) == Step::kTransfer);
-  follower.OnTransferred(7, kTimers, 3);
-  CHECK(follower.NextStepTime() == 23);
-  CHECK(follower.NextStep(22.9) == Step::kNothing);
-  CHECK(follower.NextStep(23) == Step::kQuerySerial);
-  follower.OnSerial(7, 23.5);
-  CHECK(follower.NextStepTime() == 43.5);
-  CHECK(follower.NextStep(43.5) == Step::kQuerySerial);
-  follower.OnFailure(44);
-  CHECK(follower.NextStep(48.9) == Step::kNothing);
-  CHECK(follower.NextStep(49) == Step::kQuerySerial);
-  follower.OnSerial(8, 49);
-  CHECK(follower.NextStep(49) == Step::kTransfer);
-  follower.OnFailure(50);  // half a transfer
-  CHECK(follower.serial() == 7);
-  CHECK(follower.NextStep(55) == Step::kQuerySerial);
-  follower.OnSerial(8, 55);
-  CHECK(follower.NextStep(55) == Step::kTransfer);
-  follower.OnTransferred(8, kTimers, 56);
-  CHECK(follower.serial() == 8);
+  ZoneTransferSession session(0);
+  CHECK(session.NextStep(0) == Step::kTransfer);  // nothing is held: no question first
+  CHECK(session.NextStep(0) == Step::kNothing);
+  session.OnFailure(1);
+  CHECK(session.NextStep(1) == Step::kNothing);
+  CHECK(session.NextStepTime() == 1 + ZoneTransferSession::kFirstRetry);
+  CHECK(session.NextStep(2) == Step::kTransfer);
+  session.OnTransferred(7, kTimers, 3);
+  CHECK(session.NextStepTime() == 23);
+  CHECK(session.NextStep(22.9) == Step::kNothing);
+  CHECK(session.NextStep(23) == Step::kQuerySerial);
+  session.OnSerial(7, 23.5);
+  CHECK(session.NextStepTime() == 43.5);
+  CHECK(session.NextStep(43.5) == Step::kQuerySerial);
+  session.OnFailure(44);
+  CHECK(session.NextStep(48.9) == Step::kNothing);
+  CHECK(session.NextStep(49) == Step::kQuerySerial);
+  session.OnSerial(8, 49);
+  CHECK(session.NextStep(49) == Step::kTransfer);
+  session.OnFailure(50);  // half a transfer
+  CHECK(session.serial() == 7);
+  CHECK(session.NextStep(55) == Step::kQuerySerial);
+  session.OnSerial(8, 55);
+  CHECK(session.NextStep(55) == Step::kTransfer);
+  session.OnTransferred(8, kTimers, 56);
+  CHECK(session.serial() == 8);
 }
 
 TEST_CASE("a primary that goes quiet or back in serials: the zone expires, and comes back") {
-  ZoneTransferSession follower(0);
-  follower.Restore(7, kTimers, 0, 0);
+  ZoneTransferSession session(0);
+  session.Restore(7, kTimers, 0, 0);
   double now = 0;
   bool expired = false;
   int asked = 0;
   while (now < 200 && !expired) {
-    now = std::max(now, follower.NextStepTime());
-    const Step step = follower.NextStep(now);
+    now = std::max(now, session.NextStepTime());
+    const Step step = session.NextStep(now);
     if (step == Step::kQuerySerial) {
       ++asked;
       if (asked % 2 == 0) {
-        follower.OnSerial(6, now);
+        session.OnSerial(6, now);
       } else {
-        follower.OnFailure(now);
+        session.OnFailure(now);
       }
     }
     expired = step == Step::kExpire;
@@ -284,45 +285,45 @@
   CHECK(expired);
   CHECK(now == 100);
   CHECK(asked == 20);
-  CHECK(follower.expired());
-  now = follower.NextStepTime();
-  CHECK(follower.NextStep(now) == Step::kQuerySerial);
-  follower.OnSerial(7, now);
-  CHECK_FALSE(follower.expired());
+  CHECK(session.expired());
+  now = session.NextStepTime();
+  CHECK(session.NextStep(now) == Step::kQuerySerial);
+  session.OnSerial(7, now);
+  CHECK_FALSE(session.expired());
 }
 
 TEST_CASE("what was kept counts from when it was confirmed, and is asked about at once") {
-  ZoneTransferSession follower(50);
-  follower.Restore(7, kTimers, 90, 50);
-  CHECK(follower.NextStep(50) == Step::kQuerySerial);
-  CHECK(follower.NextStepTime() == 60);
-  CHECK(follower.NextStep(60) == Step::kExpire);
+  ZoneTransferSession session(50);
+  session.Restore(7, kTimers, 90, 50);
+  CHECK(session.NextStep(50) == Step::kQuerySerial);
+  CHECK(session.NextStepTime() == 60);
+  CHECK(session.NextStep(60) == Step::kExpire);
 }
 
 TEST_CASE("notices: at once, one at a time, and no more than five a second") {
-  ZoneTransferSession follower(0);
-  follower.Restore(7, kTimers, 0, 0);
-  CHECK(follower.NextStep(0) == Step::kQuerySerial);
-  follower.OnSerial(7, 0);
-  follower.OnNotify(7, 5);  // it is held already
-  CHECK(follower.NextStepTime() == 20);
-  follower.OnNotify(8, 5);
-  CHECK(follower.NextStep(5) == Step::kQuerySerial);
-  follower.OnNotify(9, 5.01);  // while the question is out: once more after it
-  follower.OnNotify(10, 5.02);
-  follower.OnSerial(8, 5.05);
-  CHECK(follower.NextStep(5.05) == Step::kTransfer);
-  follower.OnTransferred(8, kTimers, 5.1);
-  CHECK(follower.NextStepTime() == doctest::Approx(5.2));
-  CHECK(follower.NextStep(5.2) == Step::kQuerySerial);
-  follower.OnSerial(8, 5.21);
-  CHECK(follower.NextStepTime() == 25.21);
+  ZoneTransferSession session(0);
+  session.Restore(7, kTimers, 0, 0);
+  CHECK(session.NextStep(0) == Step::kQuerySerial);
+  session.OnSerial(7, 0);
+  session.OnNotify(7, 5);  // it is held already
+  CHECK(session.NextStepTime() == 20);
+  session.OnNotify(8, 5);
+  CHECK(session.NextStep(5) == Step::kQuerySerial);
+  session.OnNotify(9, 5.01);  // while the question is out: once more after it
+  session.OnNotify(10, 5.02);
+  session.OnSerial(8, 5.05);
+  CHECK(session.NextStep(5.05) == Step::kTransfer);
+  session.OnTransferred(8, kTimers, 5.1);
+  CHECK(session.NextStepTime() == doctest::Approx(5.2));
+  CHECK(session.NextStep(5.2) == Step::kQuerySerial);
+  session.OnSerial(8, 5.21);
+  CHECK(session.NextStepTime() == 25.21);
   int asked = 0;
   for (double now = 30; now < 31; now += 0.001) {
-    follower.OnNotify(std::nullopt, now);
-    if (follower.NextStep(now) == Step::kQuerySerial) {
+    session.OnNotify(std::nullopt, now);
+    if (session.NextStep(now) == Step::kQuerySerial) {
       ++asked;
-      follower.OnSerial(8, now);
+      session.OnSerial(8, now);
     }
   }
   CHECK(asked <= 6);
@@ -330,13 +331,13 @@
 }
 
 TEST_CASE("round the end of serials, and SOA timers within limits") {
-  ZoneTransferSession follower(0);
-  follower.Restore(0xffffffff, kTimers, 0, 0);
-  CHECK(follower.NextStep(0) == Step::kQuerySerial);
-  follower.OnSerial(1, 0);
-  CHECK(follower.NextStep(0) == Step::kTransfer);
-  follower.OnTransferred(1, kTimers, 0);
-  CHECK(follower.serial() == 1);
+  ZoneTransferSession session(0);
+  session.Restore(0xffffffff, kTimers, 0, 0);
+  CHECK(session.NextStep(0) == Step::kQuerySerial);
+  session.OnSerial(1, 0);
+  CHECK(session.NextStep(0) == Step::kTransfer);
+  session.OnTransferred(1, kTimers, 0);
+  CHECK(session.serial() == 1);
   std::string soa = Name().wire() + Name().wire();
   for (const unsigned n : {1u, 0u, 0u, 0u, 0u}) Put32(soa, n);
   const SoaTimers least = SoaTimers::Of(soa);
--- a/tests/dns/update_test.cpp
+++ b/tests/dns/update_test.cpp
@@ -48,30 +48,31 @@
   return record;
 }
 
-struct Asked {
+struct UpdateText {
   std::vector<std::string> prerequisites;
   std::vector<std::string> updates;
 };
 
 const Name kKey = Name::FromLiteral("key.");
 
-UpdateOutcome Outcome(const Zone& zone, const Asked& asked, std::vector<Grant> grants) {
+UpdateOutcome Outcome(const Zone& zone, const UpdateText& text_of_update,
+                      std::vector<Grant> grants) {
   Message update;
   update.opcode = Opcode::kUpdate;
   update.question = {{kOrigin, type::kSoa, klass::kIn}};
-  for (const auto& text : asked.prerequisites) update.answer.push_back(Line(text));
-  for (const auto& text : asked.updates) update.authority.push_back(Line(text));
+  for (const auto& text : text_of_update.prerequisites) update.answer.push_back(Line(text));
+  for (const auto& text : text_of_update.updates) update.authority.push_back(Line(text));
   const auto decoded = Decode(Encode(update));  // as it would come
   REQUIRE_MESSAGE(decoded.message, decoded.why);
   return EvaluateUpdate(zone, *decoded.message, kKey, grants);
 }
 
-UpdateOutcome Outcome(const Zone& zone, const Asked& asked) {
-  return Outcome(zone, asked, {{kKey, kOrigin, {}, true, false}});
+UpdateOutcome Outcome(const Zone& zone, const UpdateText& text_of_update) {
+  return Outcome(zone, text_of_update, {{kKey, kOrigin, {}, true, false}});
 }
 
 // The change as text, `-` before what goes and `+` before what comes, without the SOAs.
-std::string Came(const UpdateOutcome& outcome) {
+std::string ChangeText(const UpdateOutcome& outcome) {
   if (outcome.rcode != Rcode::kNoError) return RcodeText(outcome.rcode);
   if (!outcome.change) return "nothing";
   std::string out;
@@ -145,7 +146,7 @@
   };
   for (const auto& [prerequisites, expected] : cases) {
     CAPTURE(prerequisites[0]);
-    CHECK(Came(Outcome(zone, {prerequisites, {add}})) == expected);
+    CHECK(ChangeText(Outcome(zone, {prerequisites, {add}})) == expected);
   }
 }
 
@@ -196,7 +197,7 @@
   for (const auto& [updates, expected] : cases) {
     CAPTURE(updates[0]);
     std::vector<Grant> all = {{kKey, Name(), {}, true, false}};
-    CHECK(Came(Outcome(zone, {{}, updates}, all)) == expected);
+    CHECK(ChangeText(Outcome(zone, {{}, updates}, all)) == expected);
   }
 }
 
@@ -209,7 +210,7 @@
   };
   CHECK(serial_after("n IN 1 A 1.1.1.1") == 11);
   CHECK(serial_after("@ IN 60 SOA ns h 500 2 3 4 30") == 500);
-  CHECK(Came(Outcome(zone, {{}, {"@ IN 60 SOA ns h 9 2 3 4 30"}})) == "nothing");
+  CHECK(ChangeText(Outcome(zone, {{}, {"@ IN 60 SOA ns h 9 2 3 4 30"}})) == "nothing");
   Change last{{zone.Soa()}, {zone.Soa()}};
   last.added[0].rdata = WithSerial(last.added[0].rdata, 0x80000009);
   CHECK(zone.Apply(last));
@@ -224,7 +225,7 @@
   const Zone zone = Sample();
   const Grant addresses{kKey, Below("sub"), {type::kA}, true, false};
   const auto came = [&](std::vector<std::string> updates, std::vector<Grant> grants) {
-    return Came(Outcome(zone, {{}, std::move(updates)}, std::move(grants)));
+    return ChangeText(Outcome(zone, {{}, std::move(updates)}, std::move(grants)));
   };
   CHECK(came({"a.sub IN 1 A 1.1.1.1"}, {addresses}) == "+a.sub.example. 1 IN A 1.1.1.1\n");
   CHECK(came({"sub IN 1 A 1.1.1.1"}, {addresses}) == "+sub.example. 1 IN A 1.1.1.1\n");
