--- a/tests/dns/dns_fixtures.hpp
+++ b/tests/dns/dns_fixtures.hpp
@@ -1,4 +1,4 @@
-// Tokens of a line as the zone reader would hand them on, for tests of what tokens mean.
+// Splits a line into tokens as the zone file parser does, for tests of the record types.
 #ifndef BRASSFRONT_TESTS_DNS_DNS_FIXTURES_HPP_
 #define BRASSFRONT_TESTS_DNS_DNS_FIXTURES_HPP_
 
@@ -10,7 +10,7 @@
 
 namespace brassfront::testing {
 
-// At blanks; quotes hold a token together, and a backslash keeps the character after it.
+// Splits at spaces. Quotes keep a token together, and a backslash is kept with the next character.
 inline std::vector<dns::Token> Tokens(const std::string& text) {
   std::vector<dns::Token> tokens;
   bool open = false;
--- a/tests/dns/responder_test.cpp
+++ b/tests/dns/responder_test.cpp
@@ -1,4 +1,5 @@
-// The name server's answers without its sockets: rights, signatures, repeats, limits.
+// Tests the answers of the name server without its sockets: permissions, signatures, replays,
+// limits.
 #include "nameserver/responder.hpp"
 
 #include <doctest/doctest.h>
@@ -48,7 +49,8 @@
     REQUIRE_MESSAGE(decoded.message, decoded.why);
     return *decoded.message;
   }
-  // The answer's code, with its signature checked; NOTAUTH and an error if it has one.
+  // Sends the bytes and returns the RCODE of the answer, with " unsigned" appended if its signature
+  // is not valid, and " with error" if its TSIG contains an error.
   std::string Signed(const std::string& bytes, const TsigSession& asked, std::uint64_t now = kNow) {
     TsigSession session = asked;
     const auto reply = responder.Answer(bytes, true, now);
@@ -90,7 +92,8 @@
   return message;
 }
 
-TEST_CASE("queries: in a zone, in none, in one that is not there yet") {
+TEST_CASE(
+    "queries for names in a zone, outside all zones and in a zone that is not loaded or expired") {
   ResponderFixture fixture;
   const Message answer = fixture.Ask(Query("A.Example."));
   CHECK(answer.authoritative);
@@ -119,7 +122,7 @@
   CHECK(fixture.responder.Answer(Encode(response), true, kNow).messages.empty());
 }
 
-TEST_CASE("by UDP an answer is cut to what the asker takes, signed or not") {
+TEST_CASE("over UDP an answer is truncated to the size that the client accepts, signed or not") {
   ResponderFixture fixture;
   std::string why;
   for (int n = 0; n < 100; ++n) {
@@ -144,7 +147,7 @@
   }
 }
 
-TEST_CASE("transfers are for those who may, and by TCP") {
+TEST_CASE("transfers require a grant and TCP") {
   ResponderFixture fixture;
   CHECK(fixture.Ask(Query("example.", type::kAxfr)).rcode == Rcode::kRefused);
   CHECK(fixture.Ask(Query("a.example.", type::kAxfr)).rcode == Rcode::kNotAuth);
@@ -156,7 +159,7 @@
   CHECK(Decode(reply.messages[0]).message->rcode == Rcode::kFormErr);
 }
 
-TEST_CASE("updates: signed by who may, kept before they are confirmed") {
+TEST_CASE("updates require a key with a grant, and are stored before they are confirmed") {
   ResponderFixture fixture;
   CHECK(fixture.Ask(Add("b.example.")).rcode == Rcode::kRefused);
   TsigSession reader(KeyNamed("reader."));
@@ -174,7 +177,7 @@
   CHECK(fixture.Signed(again.Sign(Encode(followed), kNow), again) == "REFUSED");
 }
 
-TEST_CASE("a clock off by ten minutes: BADTIME, signed, and nothing is done") {
+TEST_CASE("a request whose time is ten minutes off gets a signed BADTIME and has no effect") {
   ResponderFixture fixture;
   for (const std::uint64_t now : {kNow - 600, kNow + 600}) {
     TsigSession writer(KeyNamed("writer."));
@@ -185,7 +188,7 @@
   CHECK(fixture.primary.zone().serial() == 1);
 }
 
-TEST_CASE("an update that is sent again does nothing again") {
+TEST_CASE("a replayed update has no further effect") {
   ResponderFixture fixture;
   TsigSession first(KeyNamed("writer."));
   const std::string add = first.Sign(Encode(Add("b.example.")), kNow);
@@ -194,7 +197,7 @@
   CHECK(fixture.Signed(add, first) == "NOERROR");
   CHECK(fixture.Signed(remove, second) == "NOERROR");
   CHECK(fixture.primary.zone().serial() == 3);
-  // Its key's name in other letters is no other signature.
+  // The name of the key in another case does not make the signature a different one.
   std::string shouted = add;
   const auto at = shouted.rfind("\6writer");
   REQUIRE(at != std::string::npos);
@@ -208,7 +211,7 @@
   CHECK(fixture.Signed(add, first, kNow + 301) == "NOTAUTH with error");
 }
 
-TEST_CASE("witnesses end with their window, and are bounded") {
+TEST_CASE("stored signatures expire with their time window, and their number is bounded") {
   UpdateSignatureCache signatures;
   signatures.Add("m", 10, 310, Rcode::kNoError);
   signatures.RemoveExpired(310);
@@ -233,7 +236,7 @@
   }
 };
 
-TEST_CASE("an update that cannot be kept is refused, and may be sent again") {
+TEST_CASE("an update that cannot be stored gets SERVFAIL and may be sent again") {
   ResponderFixture fixture;
   FullDisk full(SmallZone(kOrigin));
   fixture.responder.AddZone(&full);
@@ -245,7 +248,7 @@
   CHECK(fixture.primary.zone().serial() == 2);
 }
 
-TEST_CASE("notices are for zones that are followed") {
+TEST_CASE("NOTIFY is accepted only for secondary zones") {
   ResponderFixture fixture;
   Message notice = Query("example.", type::kSoa);
   notice.opcode = Opcode::kNotify;
@@ -258,7 +261,7 @@
   CHECK(reply.notified_serial == 1);
 }
 
-TEST_CASE("a flood of bad packets changes nothing") {
+TEST_CASE("malformed packets change nothing") {
   ResponderFixture fixture;
   TsigSession writer(KeyNamed("writer."));
   const std::string add = writer.Sign(Encode(Add("b.example.")), kNow);
--- a/tests/dns/store_test.cpp
+++ b/tests/dns/store_test.cpp
@@ -1,4 +1,4 @@
-// The zone store: what is confirmed outlives kills, full disks and flipped bits.
+// Tests the zone store: committed changes survive kills, full disks and bit errors.
 #include "zones/store.hpp"
 
 #include <doctest/doctest.h>
@@ -59,7 +59,8 @@
   return zone;
 }
 
-// Serial s has the addresses 2 to s, but for those that 3 divides once s is beyond them by 3.
+// The zone with serial s has the addresses 2 to s, except for multiples of 3 that are at most s
+// - 3.
 Change NextChange(const Zone& zone) {
   Change change{{zone.Soa()}, {zone.Soa()}};
   const auto serial = static_cast<int>(zone.serial()) + 1;
@@ -89,7 +90,7 @@
   std::ofstream(path, std::ios::binary | std::ios::trunc) << bytes;
 }
 
-TEST_CASE("what was committed is there again, over compactions") {
+TEST_CASE("committed changes are restored, across compactions") {
   const Folder folder;
   for (int start = 0; start < 10; ++start) {
     ZoneStore store(folder / "zone", kOrigin, {.compact_bytes = 2000});
@@ -102,13 +103,13 @@
     for (int n = 0; n < 20; ++n) REQUIRE(store.Commit(NextChange(store.zone())));
   }
   CHECK(fs::file_size(folder / "zone/journal") < 20000);
-  // A second process, or store, may not hold it too.
+  // A second process or store cannot use the folder at the same time.
   ZoneStore store(folder / "zone", kOrigin, {});
   CHECK_THROWS_WITH_AS(ZoneStore(folder / "zone", kOrigin, {}),
                        (folder / "zone" + " is held by another process").c_str(), StoreError);
 }
 
-TEST_CASE("what changes were signed with is known again, over compactions and for ten minutes") {
+TEST_CASE("signatures of changes are restored, across compactions and for ten minutes") {
   const Folder folder;
   for (std::uint64_t start = 0; start < 4; ++start) {
     ZoneStore store(folder.path(), kOrigin, {.compact_bytes = 700});
@@ -129,7 +130,7 @@
   CheckZone(store.zone());
 }
 
-TEST_CASE("a change that does not fit is refused and leaves no trace") {
+TEST_CASE("a change that does not apply is refused and writes nothing") {
   const Folder folder;
   ZoneStore store(folder.path(), kOrigin, {});
   REQUIRE(store.Replace(InitialZone()));
@@ -141,7 +142,7 @@
   CHECK(ReadFile(folder / "journal") == before);
 }
 
-TEST_CASE("a hundred kills: all that was confirmed is there, and nothing half done") {
+TEST_CASE("after a hundred kills all confirmed changes are complete") {
   const Folder folder;
   { REQUIRE(ZoneStore(folder.path(), kOrigin, {}).Replace(InitialZone())); }
   std::mt19937 random(9);
@@ -179,7 +180,7 @@
   }
 }
 
-TEST_CASE("a journal cut anywhere loses its last entries alone") {
+TEST_CASE("a journal truncated anywhere loses only its last entries") {
   const Folder folder;
   std::vector<std::size_t> ends;
   {
@@ -205,7 +206,7 @@
   CHECK_THROWS_AS(ZoneStore(folder.path(), kOrigin, {}), StoreError);
 }
 
-TEST_CASE("a bit flipped anywhere is never believed") {
+TEST_CASE("a flipped bit is always detected") {
   const Folder folder;
   {
     ZoneStore store(folder.path(), kOrigin, {});
@@ -220,7 +221,7 @@
       WriteFile(folder / name, flipped);
       try {
         const ZoneStore store(folder.path(), kOrigin, {});
-        // The journal's last entry may pass for one that was cut short.
+        // A damaged last entry of the journal cannot be distinguished from an incomplete one.
         REQUIRE(std::string(name) == "journal");
         REQUIRE(store.zone().serial() == 3);
         CheckZone(store.zone());
@@ -233,7 +234,7 @@
   CHECK(store.zone().serial() == 4);
 }
 
-TEST_CASE("files of another zone or version are refused with their name") {
+TEST_CASE("files of another zone or format version are refused with their name") {
   const Folder folder;
   { REQUIRE(ZoneStore(folder.path(), kOrigin, {}).Replace(InitialZone())); }
   CHECK_THROWS_AS(ZoneStore(folder.path(), Name::FromLiteral("other."), {}), StoreError);
@@ -246,8 +247,8 @@
       StoreError);
 }
 
-// Fails so many calls from the n-th on, and one more a while after the n-th if asked. A write that
-// fails first writes half of its bytes.
+// Fails `count` calls from the `at`-th one on and, if `again` is not 0, one more call `again` calls
+// after the `at`-th. If the first failing call is a write, it writes half of its bytes.
 class FailingDisk : public Disk {
  public:
   FailingDisk(int at, int count, int again)
@@ -283,13 +284,14 @@
   int calls_ = 0;
 };
 
-TEST_CASE("each call that writes fails in turn, alone or with those after it: nothing is lost") {
+TEST_CASE(
+    "no confirmed change is lost if any writing call fails, alone or with the calls after it") {
   constexpr int kForGood = 1 << 20;
-  // The last pair: a new journal has its name, but the folder is not confirmed, and the next
+  // The last pair: a new journal has been renamed, but the folder is not synchronised, and the next
   // snapshot fails.
   const std::pair<int, int> failures[] = {{1, 0}, {2, 0}, {3, 0}, {4, 0}, {kForGood, 0}, {1, 3}};
   for (const auto& [count, again] : failures) {
-    // The process ends right after the next change that is confirmed, or goes on.
+    // The process ends directly after the next confirmed change, or continues.
     for (const bool ends_soon : {false, true}) {
       bool reached = true;
       for (int at = 1; reached; ++at) {
@@ -320,7 +322,7 @@
         }
         reached = disk.reached();
         const ZoneStore store(folder.path(), kOrigin, {});
-        // What was refused may still be there, if the disk took it and could not say so.
+        // A refused change may still be stored if the disk wrote it but reported an error.
         REQUIRE(store.zone().serial() >= confirmed);
         REQUIRE(store.zone().serial() <= confirmed + (refused ? 1 : 0));
         CheckZone(store.zone());
@@ -329,14 +331,14 @@
   }
 }
 
-TEST_CASE("replacing a zone: as a change, or whole where no serial leads there") {
+TEST_CASE("a zone is replaced by a change, or by a snapshot if the serial is the same") {
   const Folder folder;
   ZoneStore store(folder.path(), kOrigin, {});
   REQUIRE(store.Replace(InitialZone()));
   for (int n = 0; n < 5; ++n) REQUIRE(store.Commit(NextChange(store.zone())));
   Zone other = InitialZone();
   other.Add(Address(99));
-  REQUIRE(store.Replace(other));  // serial 1 again: by difference, though it is older
+  REQUIRE(store.Replace(other));  // serial 1 again: replaced by a change, although it is older
   CHECK(store.zone().Holds(Address(99)));
   CHECK_FALSE(store.zone().Holds(Address(3)));
   other.Add(Address(98));
@@ -346,7 +348,7 @@
   REQUIRE(store.Commit(NextChange(store.zone())));
 }
 
-TEST_CASE("zone files: includes stay inside the folder, and a missing file is told") {
+TEST_CASE("zone files: includes stay inside the folder, and a missing file is reported") {
   const Folder folder;
   fs::create_directories(folder / "zones/parts");
   const std::string top = "$TTL 60\n@ SOA ns h 1 2 3 4 5\n@ NS ns\n";
--- a/tests/dns/transfer_test.cpp
+++ b/tests/dns/transfer_test.cpp
@@ -1,4 +1,4 @@
-// Transfers in both forms, cut and lying ones, and the follower's timers.
+// Tests full and incremental transfers, incomplete and invalid ones, and the timers of a secondary.
 #include "dns/transfer.hpp"
 
 #include <doctest/doctest.h>
@@ -26,7 +26,7 @@
       [](const ZoneText&, const std::string&, std::string&) { return std::optional<ZoneText>(); });
 }
 
-// Changes the address of some hosts.
+// Changes the address of one random host.
 void ChangeRandomHost(Zone& zone, std::mt19937& random) {
   Change change{{zone.Soa()}, {zone.Soa()}};
   change.added[0].rdata = WithSerial(change.added[0].rdata, zone.serial() + 1);
@@ -78,7 +78,7 @@
   return change.removed.size() == 1 && change.added.size() == 1 && a.serial() == b.serial();
 }
 
-TEST_CASE("a whole zone over many messages, signed and not") {
+TEST_CASE("a full zone in many messages, signed and unsigned") {
   const Zone zone = ZoneWithHosts(3000);
   for (const bool with_key : {false, true}) {
     Exchange exchange = Begin(zone, std::nullopt, with_key);
@@ -90,7 +90,8 @@
   }
 }
 
-TEST_CASE("changes since a serial, from each that is remembered; the whole for others") {
+TEST_CASE(
+    "an IXFR returns the changes since a stored serial, and the full zone for other serials") {
   std::mt19937 random(5);
   Zone zone = ZoneWithHosts(50);
   std::vector<Zone> past;
@@ -118,7 +119,7 @@
   CHECK(std::holds_alternative<FullZone>(Run(forgotten)));
 }
 
-TEST_CASE("by UDP: what fits, or the SOA alone") {
+TEST_CASE("over UDP an IXFR returns the changes if they fit, otherwise the SOA alone") {
   std::mt19937 random(5);
   Zone zone = ZoneWithHosts(50);
   const Record first = zone.Soa();
@@ -134,7 +135,7 @@
   CHECK(Decode(messages[0]).message->answer.size() == 1);
 }
 
-TEST_CASE("half a transfer comes to nothing, wherever it ends") {
+TEST_CASE("an incomplete transfer fails, wherever it ends") {
   const Zone zone = ZoneWithHosts(3000);
   Exchange whole = Begin(zone, std::nullopt, true);
   for (std::size_t parts = 0; parts < whole.messages.size(); ++parts) {
@@ -142,14 +143,13 @@
     exchange.messages.resize(parts);
     CHECK(FailureOf(Run(exchange)).starts_with("cut short after"));
   }
-  // One message left out, in the middle.
+  // A message in the middle is missing.
   Exchange exchange = Begin(zone, std::nullopt, true);
   exchange.messages.erase(exchange.messages.begin() + 1);
   CHECK(FailureOf(Run(exchange)) == "the signature does not hold: BADVERS/BADSIG");
 }
 
-TEST_CASE(
-    "unsigned messages in the middle are vouched for by the next; the last one must be signed") {
+TEST_CASE("unsigned messages are covered by the next signature; the last message must be signed") {
   const Zone zone = ZoneWithHosts(3000);
   for (const bool last_signed : {true, false}) {
     const Message request = TransferRequest(kOrigin, std::nullopt, 99);
@@ -193,7 +193,7 @@
   return soa;
 }
 
-TEST_CASE("a primary that lies is not believed") {
+TEST_CASE("invalid transfers are rejected") {
   const Record ns = ZoneWithHosts(0).RecordsOf(kOrigin).at(0);
   const Record a{Name::FromLiteral("a.example."), type::kA, klass::kIn, 1, "\1\2\3\4"};
   Record outside = a;
@@ -207,7 +207,7 @@
   CHECK(FailureOfRecords({Soa(5), not_ns, Soa(5), a}, std::nullopt) == "records after its end");
   CHECK(FailureOfRecords({Soa(5), a, Soa(5)}, std::nullopt) == "no whole zone: no NS at example.");
   CHECK(FailureOfRecords({Soa(5), not_ns, a}, std::nullopt) == "more is awaited");
-  // It says that it is newer and then sends what is not.
+  // The primary claims a newer serial and then sends a zone that is not newer.
   CHECK(FailureOfRecords({Soa(4), not_ns, Soa(4)}, Soa(4)).find("not newer than 4") !=
         std::string::npos);
   CHECK(FailureOfRecords({Soa(9), Soa(3), a, Soa(9), Soa(9)}, Soa(4)) ==
@@ -234,9 +234,9 @@
 constexpr SoaTimers kTimers{20, 5, 100};
 using Step = ZoneTransferSession::Step;
 
-TEST_CASE("the follower asks by the SOA's timers") {
+TEST_CASE("a secondary queries according to the timers of the SOA") {
   ZoneTransferSession session(0);
-  CHECK(session.NextStep(0) == Step::kTransfer);  // nothing is held: no question first
+  CHECK(session.NextStep(0) == Step::kTransfer);  // no zone yet: transfer without a serial query
   CHECK(session.NextStep(0) == Step::kNothing);
   session.OnFailure(1);
   CHECK(session.NextStep(1) == Step::kNothing);
@@ -254,7 +254,7 @@
   CHECK(session.NextStep(49) == Step::kQuerySerial);
   session.OnSerial(8, 49);
   CHECK(session.NextStep(49) == Step::kTransfer);
-  session.OnFailure(50);  // half a transfer
+  session.OnFailure(50);  // an incomplete transfer
   CHECK(session.serial() == 7);
   CHECK(session.NextStep(55) == Step::kQuerySerial);
   session.OnSerial(8, 55);
@@ -263,7 +263,7 @@
   CHECK(session.serial() == 8);
 }
 
-TEST_CASE("a primary that goes quiet or back in serials: the zone expires, and comes back") {
+TEST_CASE("the zone expires if the primary is silent or its serial goes back, and recovers") {
   ZoneTransferSession session(0);
   session.Restore(7, kTimers, 0, 0);
   double now = 0;
@@ -292,7 +292,7 @@
   CHECK_FALSE(session.expired());
 }
 
-TEST_CASE("what was kept counts from when it was confirmed, and is asked about at once") {
+TEST_CASE("a restored zone expires relative to its last confirmation and is queried at once") {
   ZoneTransferSession session(50);
   session.Restore(7, kTimers, 90, 50);
   CHECK(session.NextStep(50) == Step::kQuerySerial);
@@ -300,16 +300,16 @@
   CHECK(session.NextStep(60) == Step::kExpire);
 }
 
-TEST_CASE("notices: at once, one at a time, and no more than five a second") {
+TEST_CASE("NOTIFY causes an immediate query, one at a time and at most about five per second") {
   ZoneTransferSession session(0);
   session.Restore(7, kTimers, 0, 0);
   CHECK(session.NextStep(0) == Step::kQuerySerial);
   session.OnSerial(7, 0);
-  session.OnNotify(7, 5);  // it is held already
+  session.OnNotify(7, 5);  // not newer
   CHECK(session.NextStepTime() == 20);
   session.OnNotify(8, 5);
   CHECK(session.NextStep(5) == Step::kQuerySerial);
-  session.OnNotify(9, 5.01);  // while the question is out: once more after it
+  session.OnNotify(9, 5.01);  // during a query: one more query after it
   session.OnNotify(10, 5.02);
   session.OnSerial(8, 5.05);
   CHECK(session.NextStep(5.05) == Step::kTransfer);
@@ -330,7 +330,7 @@
   CHECK(asked >= 4);
 }
 
-TEST_CASE("round the end of serials, and SOA timers within limits") {
+TEST_CASE("the serial wraps around, and SOA timers are clamped") {
   ZoneTransferSession session(0);
   session.Restore(0xffffffff, kTimers, 0, 0);
   CHECK(session.NextStep(0) == Step::kQuerySerial);
--- a/tests/dns/tsig_test.cpp
+++ b/tests/dns/tsig_test.cpp
@@ -1,4 +1,4 @@
-// Signed messages: good ones, and each way to be wrong (RFC 8945 §5).
+// Tests signed messages: valid ones and each kind of error (RFC 8945 §5).
 #include "dns/tsig.hpp"
 
 #include <doctest/doctest.h>
@@ -29,7 +29,7 @@
   return session.Check(bytes, *decoded.message, now);
 }
 
-TEST_CASE("a request and its answer, by both algorithms") {
+TEST_CASE("a request and its answer, with both algorithms") {
   for (const auto algorithm : {Algorithm::kHmacSha256, Algorithm::kHmacSha512}) {
     TsigSession client(SomeKey(algorithm));
     TsigSession server(SomeKey(algorithm));
@@ -40,14 +40,14 @@
     CHECK(server.signed_at() == kNow);
     const std::string answer = server.Sign(Encode(ReplyTo(Query(), Rcode::kNoError)), kNow);
     CHECK(Checked(client, answer) == TsigError::kNone);
-    // The answer to another request is none to this one.
+    // The answer to another request is not accepted.
     TsigSession other(SomeKey(algorithm));
     other.Sign(Encode(Query()), kNow + 1);
     CHECK(Checked(other, answer) == TsigError::kBadSig);
   }
 }
 
-TEST_CASE("no bit of a signed message may change, but those of its ID") {
+TEST_CASE("a change of any bit of a signed message is detected, except in its ID") {
   TsigSession client(SomeKey());
   const std::string request = client.Sign(Encode(Query()), kNow);
   for (std::size_t bit = 0; bit < request.size() * 8; ++bit) {
@@ -57,8 +57,8 @@
     if (!decoded.message) continue;
     TsigSession server(SomeKey());
     const bool taken = server.Check(changed, *decoded.message, kNow) == TsigError::kNone;
-    // A forwarder may give a message another ID (§5.1 keeps the first one), and the case of the
-    // key's and the algorithm's names does not count.
+    // A forwarder may change the ID of a message (§5.1 stores the original one), and the names of
+    // the key and of the algorithm are compared without regard to case.
     const std::size_t byte = bit / 8;
     const std::size_t tsig_at = decoded.message->tsig_at;
     const std::size_t rdata_at = tsig_at + SomeKey().name.wire().size() + 10;
@@ -94,10 +94,11 @@
   const std::string refusal = WithTsigError(Encode(ReplyTo(Query(), Rcode::kNotAuth)),
                                             *Decode(request).message, TsigError::kBadKey);
   CHECK(TsigErrorOf(*Decode(refusal).message) == TsigError::kBadKey);
-  CHECK(Checked(client, refusal) == TsigError::kBadSig);  // nothing proves who says so
+  CHECK(Checked(client, refusal) ==
+        TsigError::kBadSig);  // the answer is not signed, so it proves nothing
 }
 
-TEST_CASE("a clock that is off by ten minutes is told so, and told the time") {
+TEST_CASE("a request outside the time window gets a signed BADTIME answer") {
   for (const long long off : {-301LL, -600LL, 301LL, 600LL}) {
     TsigSession client(SomeKey());
     TsigSession server(SomeKey());
@@ -106,7 +107,8 @@
     const std::string answer =
         server.SignBadTime(Encode(ReplyTo(Query(), Rcode::kNotAuth)), server.signed_at(),
                            kNow + static_cast<std::uint64_t>(off));
-    CHECK(Checked(client, answer) == TsigError::kNone);  // it is the server that says so
+    CHECK(Checked(client, answer) ==
+          TsigError::kNone);  // the signature proves that the server sent it
     CHECK(TsigErrorOf(*Decode(answer).message) == TsigError::kBadTime);
   }
   TsigSession client(SomeKey());
@@ -114,7 +116,8 @@
   CHECK(Checked(server, client.Sign(Encode(Query()), kNow), kNow + 300) == TsigError::kNone);
 }
 
-TEST_CASE("a transfer's messages hang together; some may come unsigned, but not the last") {
+TEST_CASE(
+    "the signatures of a transfer are chained; a limited number of messages may be unsigned") {
   TsigSession client(SomeKey());
   TsigSession server(SomeKey());
   REQUIRE(Checked(server, client.Sign(Encode(Query()), kNow)) == TsigError::kNone);
@@ -129,7 +132,7 @@
   for (const auto& bytes : parts) CHECK(Checked(client, bytes) == TsigError::kNone);
   CHECK(Checked(client, part(9)) == TsigError::kNone);
 
-  // One left out, or two that changed places, is seen.
+  // A missing message is detected.
   TsigSession again(SomeKey());
   again.Sign(Encode(Query()), kNow);
   CHECK(Checked(again, parts[0]) == TsigError::kNone);
@@ -140,7 +143,7 @@
   CHECK(Checked(swapped, part(1)) == TsigError::kBadSig);
 }
 
-TEST_CASE("secrets and algorithms by text") {
+TEST_CASE("parsing of secrets and algorithms") {
   CHECK(*FromBase64("AQID") == "\1\2\3");
   CHECK(*FromBase64("AQ==") == "\1");
   CHECK_FALSE(FromBase64(""));
@@ -150,7 +153,7 @@
   CHECK_FALSE(AlgorithmFromText("hmac-md5"));
 }
 
-TEST_CASE("garbage is never taken for signed") {
+TEST_CASE("garbage never passes as signed") {
   TsigSession client(SomeKey());
   const std::string request = client.Sign(Encode(Query()), kNow);
   KeyRing keys;
--- a/tests/dns/update_test.cpp
+++ b/tests/dns/update_test.cpp
@@ -1,4 +1,4 @@
-// What a zone answers, and what updates come to: each rule of RFC 2136.
+// Tests the answers of a zone and the evaluation of updates: each rule of RFC 2136.
 #include "dns/update.hpp"
 
 #include <doctest/doctest.h>
@@ -31,7 +31,7 @@
   return *Name::FromText(text, kOrigin, why);
 }
 
-// `name class ttl type rdata...`; without RDATA where a class may be so.
+// Parses `name class ttl type rdata...`; the RDATA may be missing for the classes ANY and NONE.
 Record Line(const std::string& text) {
   const auto tokens = testing::Tokens(text);
   Record record;
@@ -62,7 +62,7 @@
   update.question = {{kOrigin, type::kSoa, klass::kIn}};
   for (const auto& text : text_of_update.prerequisites) update.answer.push_back(Line(text));
   for (const auto& text : text_of_update.updates) update.authority.push_back(Line(text));
-  const auto decoded = Decode(Encode(update));  // as it would come
+  const auto decoded = Decode(Encode(update));  // as if received from the network
   REQUIRE_MESSAGE(decoded.message, decoded.why);
   return EvaluateUpdate(zone, *decoded.message, kKey, grants);
 }
@@ -71,7 +71,7 @@
   return Outcome(zone, text_of_update, {{kKey, kOrigin, {}, true, false}});
 }
 
-// The change as text, `-` before what goes and `+` before what comes, without the SOAs.
+// Returns the change as text without the SOAs: `-` precedes removed records and `+` added ones.
 std::string ChangeText(const UpdateOutcome& outcome) {
   if (outcome.rcode != Rcode::kNoError) return RcodeText(outcome.rcode);
   if (!outcome.change) return "nothing";
@@ -103,7 +103,7 @@
   CHECK(alias.answer.size() == 3);
   CHECK(zone.Query(Below("alias"), type::kCname).answer.size() == 1);
   CHECK(zone.Query(Below("out"), type::kA).answer.size() == 1);
-  CHECK(zone.Query(Below("round"), type::kA).answer.size() >= 2);  // and it ends
+  CHECK(zone.Query(Below("round"), type::kA).answer.size() >= 2);  // the CNAME loop ends
   CHECK(zone.Query(Below("a.b.wild"), type::kTxt).answer.size() == 1);
   CHECK(zone.Query(Below("a.wild"), type::kA).rcode == Rcode::kNoError);
   CHECK(zone.Query(Below("wild"), type::kTxt).answer.empty());
@@ -116,14 +116,14 @@
   CHECK(service.additional.size() == 2);
 }
 
-TEST_CASE("prerequisites of RFC 2136 §2.4, met and not met") {
+TEST_CASE("prerequisites of RFC 2136 §2.4, satisfied and not satisfied") {
   const Zone zone = Sample();
   const std::string add = "n IN 5 A 1.1.1.1";
   const std::string done = "+n.example. 5 IN A 1.1.1.1\n";
   const std::pair<std::vector<std::string>, std::string> cases[] = {
       {{"w ANY 0 ANY"}, done},
       {{"gone ANY 0 ANY"}, "NXDOMAIN"},
-      {{"deep ANY 0 ANY"}, "NXDOMAIN"},  // in use means that it has records
+      {{"deep ANY 0 ANY"}, "NXDOMAIN"},  // a name is in use only if it has records
       {{"w ANY 0 A"}, done},
       {{"w ANY 0 TXT"}, "NXRRSET"},
       {{"gone NONE 0 ANY"}, done},
@@ -135,7 +135,7 @@
       {{"w IN 0 A 10.0.0.3"}, "NXRRSET"},
       {{"w IN 0 A 10.0.0.3", "w IN 0 A 10.0.0.4", "w IN 0 A 10.0.0.5"}, "NXRRSET"},
       {{"w IN 0 A 10.0.0.3", "w IN 0 A 10.0.0.5"}, "NXRRSET"},
-      {{"alias IN 0 CNAME W"}, done},  // names in RDATA are equal in any case
+      {{"alias IN 0 CNAME W"}, done},  // names in RDATA are compared without regard to case
       {{"w ANY 1 ANY"}, "FORMERR"},
       {{"w IN 1 A 10.0.0.3"}, "FORMERR"},
       {{"w CH 0 TXT x"}, "FORMERR"},
@@ -163,14 +163,14 @@
       {{"w ANY 0 A"}, "-w.example. 60 IN A 10.0.0.3\n-w.example. 60 IN A 10.0.0.4\n"},
       {{"w ANY 0 ANY"}, "-w.example. 60 IN A 10.0.0.3\n-w.example. 60 IN A 10.0.0.4\n"},
       {{"gone ANY 0 ANY"}, "nothing"},
-      // The top keeps its SOA and a name server.
+      // The zone apex keeps its SOA and at least one NS.
       {{"@ ANY 0 ANY"}, "nothing"},
       {{"@ ANY 0 NS"}, "nothing"},
       {{"@ ANY 0 SOA"}, "nothing"},
       {{"@ NONE 0 NS ns", "@ NONE 0 NS ns2"}, "-example. 60 IN NS ns.example.\n"},
       {{"@ NONE 0 SOA ns h 10 2 3 4 30"}, "nothing"},
       {{"child ANY 0 NS"}, "-child.example. 60 IN NS ns.child.example.\n"},
-      // An alias stands alone.
+      // A CNAME cannot coexist with other data.
       {{"w IN 60 CNAME ns"}, "nothing"},
       {{"alias IN 60 A 1.1.1.1"}, "nothing"},
       {{"alias IN 60 CNAME ns"},
@@ -178,11 +178,11 @@
       {{"w ANY 0 ANY", "w IN 60 CNAME ns"},
        "-w.example. 60 IN A 10.0.0.3\n-w.example. 60 IN A 10.0.0.4\n"
        "+w.example. 60 IN CNAME ns.example.\n"},
-      // In order, with the net result alone.
+      // The steps apply in order; the change is the net result.
       {{"n IN 1 A 1.1.1.1", "n ANY 0 ANY"}, "nothing"},
       {{"w ANY 0 ANY", "w IN 60 A 10.0.0.3"}, "-w.example. 60 IN A 10.0.0.4\n"},
       {{"n IN 1 TYPE999 \\# 2 0102"}, "+n.example. 1 IN TYPE999 \\# 2 0102\n"},
-      // Form.
+      // Format errors.
       {{"n IN 1 ANY"}, "FORMERR"},
       {{"n IN 1 AXFR \\# 0"}, "FORMERR"},
       {{"n ANY 1 A"}, "FORMERR"},
@@ -191,7 +191,7 @@
       {{"n NONE 0 ANY"}, "FORMERR"},
       {{"n CH 0 A 1.1.1.1"}, "FORMERR"},
       {{"n.other. IN 1 A 1.1.1.1"}, "NOTZONE"},
-      // All or nothing.
+      // An update with one invalid record changes nothing.
       {{"w ANY 0 ANY", "n.other. IN 1 A 1.1.1.1"}, "NOTZONE"},
   };
   for (const auto& [updates, expected] : cases) {
@@ -201,7 +201,7 @@
   }
 }
 
-TEST_CASE("the serial goes on by itself, or as the update says, also round the end") {
+TEST_CASE("the serial increases by itself or as the update sets it, also across the wraparound") {
   Zone zone = Sample();
   const auto serial_after = [&zone](const std::string& update) {
     const auto outcome = Outcome(zone, {{}, {update}});
@@ -221,7 +221,7 @@
   CHECK(serial_after("@ IN 60 SOA ns h 7 2 3 4 30") == 7);
 }
 
-TEST_CASE("what a key may not do is refused, whole") {
+TEST_CASE("an update is refused entirely if the key lacks a permission for any part") {
   const Zone zone = Sample();
   const Grant addresses{kKey, Below("sub"), {type::kA}, true, false};
   const auto came = [&](std::vector<std::string> updates, std::vector<Grant> grants) {
@@ -262,7 +262,7 @@
   return out;
 }
 
-TEST_CASE("sets are in canonical order, whatever order they came in, and hold none twice") {
+TEST_CASE("RRsets are in canonical order regardless of insertion order, without duplicates") {
   Zone zone(kOrigin);
   for (const char* host : {"c", "B", "a", "b", "C", "d"}) {
     zone.Add({kOrigin, type::kNs, klass::kIn, 1, Below(host).wire()});
@@ -275,7 +275,7 @@
   CHECK(zone.records() == 3);
 }
 
-TEST_CASE("random updates: the changes lead from any remembered serial to the newest zone") {
+TEST_CASE("random updates: the stored changes lead from any stored serial to the current zone") {
   std::mt19937 random(7);
   Zone zone = Sample();
   std::vector<Zone> past = {zone};
--- a/tests/dns/wire_test.cpp
+++ b/tests/dns/wire_test.cpp
@@ -1,4 +1,4 @@
-// Names, RDATA and messages: what goes round, what is refused, and garbage.
+// Tests names, RDATA and messages: round trips, refused input, and garbage.
 #include <doctest/doctest.h>
 
 #include <random>
@@ -37,15 +37,15 @@
   CHECK(NameFault(std::string(64, 'a')) == "a label is longer than 63 bytes");
   std::string longest;
   for (int n = 0; n < 3; ++n) longest += std::string(63, 'a') + ".";
-  CHECK(NameFault(longest + std::string(61, 'a') + ".") == "");  // 255 with the root's
+  CHECK(NameFault(longest + std::string(61, 'a') + ".") == "");  // 255 bytes with the root label
   CHECK(NameFault(longest + std::string(62, 'a') + ".") == "a name is longer than 255 bytes");
 }
 
-TEST_CASE("names: case, order and place in the tree") {
+TEST_CASE("names: case, order and position in the tree") {
   CHECK(Name::FromLiteral("WWW.Example.") == Name::FromLiteral("www.example."));
   CHECK(Name::FromLiteral("a.example.").Key() == Name::FromLiteral("A.EXAMPLE.").Key());
   CHECK_FALSE(Name::FromLiteral("a.") == Name::FromLiteral("b."));
-  // RFC 4034 §6.1's own example.
+  // The example of RFC 4034 §6.1.
   const char* sorted[] = {"example.",         "a.example.",      "yljkjljk.a.example.",
                           "Z.a.example.",     "zABC.a.EXAMPLE.", "z.example.",
                           "\\001.z.example.", "*.z.example.",    "\\200.z.example."};
@@ -63,13 +63,13 @@
   CHECK(Name::FromLiteral("a.b.").Parent() == Name::FromLiteral("b."));
 }
 
-TEST_CASE("serials go round") {
+TEST_CASE("serials wrap around") {
   CHECK(IsNewer(1, 0));
   CHECK_FALSE(IsNewer(0, 1));
   CHECK_FALSE(IsNewer(7, 7));
   CHECK(IsNewer(0, 0xffffffff));
   CHECK(IsNewer(5, 0xfffffff0));
-  CHECK_FALSE(IsNewer(0x80000000, 0));  // just half round: not defined, so neither
+  CHECK_FALSE(IsNewer(0x80000000, 0));  // exactly 2^31 apart: undefined, so neither is newer
   CHECK_FALSE(IsNewer(0, 0x80000000));
   CHECK(IsNewer(0x7fffffff, 0));
   CHECK(NextSerial(0xffffffff) == 1);
@@ -79,7 +79,7 @@
 struct Sample {
   const char* type;
   const char* text;
-  const char* printed;  // null if the same
+  const char* printed;  // null if equal to the input
 };
 
 constexpr Sample kSamples[] = {
@@ -106,7 +106,7 @@
     {"A", "\\# 4 0A000001", "10.0.0.1"},
 };
 
-TEST_CASE("RDATA goes round by text and by wire") {
+TEST_CASE("RDATA round trips through text and wire format") {
   for (const Sample& sample : kSamples) {
     CAPTURE(sample.text);
     const auto type = *TypeFromText(sample.type);
@@ -130,7 +130,7 @@
   }
 }
 
-TEST_CASE("RDATA that is wrong is refused with why") {
+TEST_CASE("invalid RDATA is refused with a reason") {
   const std::pair<const char*, const char*> bad[] = {
       {"A", ""},
       {"A", "1.2.3"},
@@ -191,10 +191,10 @@
   return message;
 }
 
-TEST_CASE("messages go round, compressed, and are cut to the limit with TC") {
+TEST_CASE("messages round trip, are compressed, and are truncated to the limit with TC") {
   const Message rich = Rich();
   const std::string bytes = Encode(rich);
-  CHECK(bytes.size() < 12 + 17 + 40 * 16 + 60);  // names after the first are two bytes
+  CHECK(bytes.size() < 12 + 17 + 40 * 16 + 60);  // each name after the first takes two bytes
   const Decoded decoded = Decode(bytes);
   REQUIRE(decoded.message);
   CHECK(Encode(*decoded.message) == bytes);
@@ -209,7 +209,7 @@
   CHECK(less.message->answer.size() < 40);
   CHECK(less.message->answer.size() > 20);
   CHECK(less.message->edns);
-  // What is left out of the additional section alone is no truncation (RFC 2181 §9).
+  // Leaving out records of the additional section alone does not set TC (RFC 2181 §9).
   const Decoded most = Decode(Encode(rich, bytes.size() - 1));
   REQUIRE(most.message);
   CHECK_FALSE(most.message->truncated);
@@ -223,7 +223,8 @@
   return out;
 }
 
-TEST_CASE("compression that goes round, forward or out is refused") {
+TEST_CASE(
+    "compression pointers that loop, point forward or point outside the message are refused") {
   const auto refused = [](const std::string& bytes) {
     const Decoded decoded = Decode(bytes);
     CHECK_FALSE(decoded.message);
@@ -242,13 +243,13 @@
   CHECK(refused(Header(2, 0) + std::string("\1a\0", 3) + type_and_class) != "");
   CHECK(refused(Header(1, 0) + std::string("\1a\0", 3) + type_and_class + "x") ==
         "bytes follow the last record");
-  // Pointers may follow each other as long as each goes back.
+  // A pointer may lead to another one as long as each points back.
   std::string chain = Header(2, 0) + std::string("\1a\0", 3) + type_and_class;
   chain += std::string("\1b\xc0\x0c", 4) + type_and_class;
   const Decoded decoded = Decode(chain);
   REQUIRE(decoded.message);
   CHECK(decoded.message->question[1].name == Name::FromLiteral("b.a."));
-  // A name that grows beyond 255 bytes by pointers.
+  // A name that exceeds 255 bytes through pointers.
   std::string grown = Header(6, 0);
   std::size_t last = grown.size();
   grown += "\x3f" + std::string(63, 'a') + std::string(1, '\0') + type_and_class;
@@ -262,7 +263,7 @@
   CHECK(refused(grown).find("too long") != std::string::npos);
 }
 
-TEST_CASE("less than a header, and responses, get no answer") {
+TEST_CASE("incomplete headers and responses get no answer") {
   CHECK_FALSE(Decode("").refusal);
   CHECK_FALSE(Decode(std::string(11, 'x')).refusal);
   std::string response = Header(9, 0);
@@ -273,7 +274,7 @@
   CHECK(decoded.why != "");
 }
 
-TEST_CASE("OPT twice, or TSIG not at the end, is refused") {
+TEST_CASE("a second OPT, or a TSIG that is not the last record, is refused") {
   Message message = Rich();
   std::string twice = Encode(message);
   const std::string opt = std::string("\0\0\x29\x05\x78\0\0\0\0\0\0", 11);
@@ -285,7 +286,7 @@
   CHECK_FALSE(Decode(Encode(message)).message);
 }
 
-TEST_CASE("a stream of messages in any cuts") {
+TEST_CASE("a stream of messages in chunks of any size") {
   std::string stream;
   for (int n = 0; n < 20; ++n)
     stream += WithLengthPrefix(std::string(static_cast<std::size_t>(n * 7), 'm'));
@@ -298,7 +299,7 @@
   }
 }
 
-TEST_CASE("garbage never breaks the decoder, and what it takes goes round") {
+TEST_CASE("the decoder handles garbage, and messages that it accepts round trip") {
   const std::string bytes = Encode(Rich());
   int taken = 0;
   for (std::uint32_t seed = 0; seed < 20 * testing::kRounds; ++seed) {
--- a/tests/dns/zone_file_test.cpp
+++ b/tests/dns/zone_file_test.cpp
@@ -1,4 +1,4 @@
-// Zone files: what they say, where they are wrong, includes, and garbage.
+// Tests zone files: valid forms, positions of errors, includes, and garbage.
 #include "dns/zone_file.hpp"
 
 #include <doctest/doctest.h>
@@ -14,7 +14,7 @@
 const Name kZone = Name::FromLiteral("example.");
 constexpr const char* kTop = "$TTL 1h\n@ SOA ns h 1 2 3 4 5\n@ NS ns\n";
 
-// Files that may be included, by name.
+// Files available for $INCLUDE, by name.
 std::map<std::string, std::string> files;
 
 std::optional<ZoneText> Include(const ZoneText&, const std::string& named, std::string& why) {
@@ -41,7 +41,7 @@
   return out;
 }
 
-TEST_CASE("the forms that RFC 1035 has") {
+TEST_CASE("the zone file syntax of RFC 1035") {
   const Zone zone = Read(
       "; a comment\n"
       "$ORIGIN example.\n"
@@ -81,7 +81,8 @@
   CHECK(zone.records() == 12);
 }
 
-TEST_CASE("TTLs: of $TTL, of the record before, of the SOA, the least of a set") {
+TEST_CASE(
+    "the TTL comes from $TTL, the previous record or the SOA; an RRset has the smallest one") {
   CHECK(Written(Read("@ SOA ns h 1 2 3 4 77\n NS ns\n")).find("example. 77 IN NS") !=
         std::string::npos);
   CHECK(Written(Read("@ 9 SOA ns h 1 2 3 4 77\n NS ns\n")).find("example. 9 IN NS") !=
@@ -115,7 +116,7 @@
         "zone:4:24: A: '1.1.1.256' is no IPv4 address");
 }
 
-TEST_CASE("faults have file, line and column, and all are told") {
+TEST_CASE("errors have file, line and column, and all are reported") {
   const std::string top = kTop;
   const std::pair<std::string, std::string> bad[] = {
       {"a A 1.2.3\n", "zone:4:5: A: '1.2.3' is no IPv4 address"},
@@ -161,7 +162,7 @@
         InvalidZone::kMaxFaults);
 }
 
-TEST_CASE("includes: origin and owner come back, loops and depth end, faults name the file") {
+TEST_CASE("includes restore origin and owner, loops and depth are limited, errors name the file") {
   files = {{"part", "a A 1.1.1.1\n"},
            {"loop", "$INCLUDE loop\n"},
            {"round", "$INCLUDE trip\n"},
@@ -184,7 +185,7 @@
   CHECK(Faults(top + "$INCLUDE deep0\n").find("more than 16 files") != std::string::npos);
 }
 
-TEST_CASE("garbage is refused with a place or read, and what is read goes round") {
+TEST_CASE("garbage is refused with a position or parsed, and parsed zones round trip") {
   const std::string good = std::string(kTop) +
                            "a 60 IN A 192.0.2.1\nb ( TXT \"x y\" ; c\n z )\n$ORIGIN s\n"
                            "c SRV 1 2 3 d\n$GENERATE 1-3 g$ A 10.0.0.$\nw HTTPS 1 . alpn=h2\n";
