--- a/src/forwarder/message_table.cpp
+++ b/src/forwarder/message_table.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-// While the spool can't be read, its numbers are not known. Ids are taken from far above them then;
-// no two processes begin at the same one.
+// While the spool cannot be read, the ids that it has used are unknown. Ids far above them are
+// assigned then. They start at the spool's time, so that no two processes start at the same id.
 MessageTable::MessageId FirstIdWithoutSpool(const Spool& spool) {
   constexpr MessageTable::MessageId kFarAbove = MessageTable::MessageId{1} << 52;
   return kFarAbove + static_cast<MessageTable::MessageId>(spool.Now().count()) * 1024;
@@ -173,7 +173,7 @@
       return GiveUp({.message = message}, "delivered-late", now);
     case MessageEnd::kDeliveredUnsettled:
       return AwaitSettlement(message);
-    case MessageEnd::kOverForTheEndpoint:
+    case MessageEnd::kGone:
       return GiveUp({.message = message}, "gone", now);
   }
 }
@@ -199,7 +199,7 @@
   spool_.Finish(message);
   totals_.CountEnd(final_step);
   observe::Count("messages_ended_total", {"reason", ToString(final_step)});
-  if (observe::Logs(Concern::kEngine, Level::kDebug)) {
+  if (observe::ShouldLog(Concern::kEngine, Level::kDebug)) {
     observe::Log(Concern::kEngine, Level::kDebug, "message ended",
                  {{"id", messages_.at(message).client_id},
                   {"reason", ToString(final_step)},
--- a/src/net/notification_client.cpp
+++ b/src/net/notification_client.cpp
@@ -9,10 +9,11 @@
 
 constexpr const char* kLogSide = "notifications";
 constexpr const char* kPath = "/v2/finals";
-// Kept, however idle: more than there are posts that are left alone (NotificationOutbox).
+// Threads that are kept even when idle: more than the number of late posts that NotificationOutbox
+// leaves open until they end.
 constexpr std::size_t kMinThreads = 3;
 
-// The status of the answer; 0 if it did not come whole.
+// Returns the status of the response; 0 if it is not complete.
 int Exchange(HttpClient& client, const std::string& body) {
   const std::string request =
       HttpPost(kPath, client.address(), {{"Content-Type", "application/json"}}, body);
@@ -31,7 +32,7 @@
       connections_(max_posts),
       threads_(kLogSide,
                {.min_threads = std::min(kMinThreads, max_posts), .max_threads = max_posts},
-               [this](const Post& post) { Carry(post); }) {
+               [this](const Post& post) { PerformPost(post); }) {
   const HttpClient::Timeouts timeouts{.connect = kConnectTimeout, .silence = kAnswerTimeout};
   const std::lock_guard lock(mutex_);
   for (Connection& connection : connections_) {
@@ -67,7 +68,7 @@
   for (Connection& connection : connections_) connection.client->SetAddress(address);
 }
 
-void NotificationClient::Carry(const Post& post) {
+void NotificationClient::PerformPost(const Post& post) {
   int status = 0;
   if (Connection* connection = TakeConnection(post)) {
     status = Exchange(*connection->client, post.body);
@@ -85,7 +86,8 @@
   return connection;
 }
 
-// With the mutex held. There is one for each thread.
+// The caller must hold the mutex. There is always an idle connection, because there is one for each
+// thread.
 NotificationClient::Connection* NotificationClient::TakeIdle(Reuse reuse) {
   auto chosen = std::prev(idle_.end());
   if (reuse == Reuse::kForbidden) {
--- a/src/operators/operator_server.cpp
+++ b/src/operators/operator_server.cpp
@@ -18,10 +18,10 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kRequestTimeout{3000};
-// After the reply the caller has this long to close, so that its bytes do not reset the connection
-// under the reply.
+// After the reply the client has this long to close the connection, so that its unread bytes do not
+// cause a reset before it has read the reply.
 constexpr milliseconds kLingerTimeout{500};
-// Between two looks at what is due: expired connections, the listener, writes that failed.
+// Interval for closing expired connections and for retrying the listener and failed writes.
 constexpr milliseconds kTickInterval{200};
 constexpr int kRequestTimedOut = 408;
 
@@ -55,29 +55,29 @@
                  {{"listen", LocalAddress(listener_)}});
     return;
   }
-  observe::LogSeldom(observe::Concern::kService, observe::Level::kWarning,
-                     "operators' address not available",
-                     {{"listen", address_}, {"error", std::strerror(errno)}});
+  observe::LogRateLimited(observe::Concern::kService, observe::Level::kWarning,
+                          "operators' address not available",
+                          {{"listen", address_}, {"error", std::strerror(errno)}});
 }
 
-// Waits for one tick at most, and serves what has come.
+// Waits for input, at most one tick, and serves the connections that have input.
 void OperatorServer::WaitForInput() {
-  std::vector<pollfd> waited_for{{wakeup_.fd(), POLLIN, 0}, {listener_.fd(), POLLIN, 0}};
+  std::vector<pollfd> poll_entries{{wakeup_.fd(), POLLIN, 0}, {listener_.fd(), POLLIN, 0}};
   for (const Connection& connection : connections_) {
-    waited_for.push_back({connection.socket.fd(), POLLIN, 0});
+    poll_entries.push_back({connection.socket.fd(), POLLIN, 0});
   }
-  const int ready = poll(waited_for.data(), waited_for.size(), kTickInterval.count());
+  const int ready = poll(poll_entries.data(), poll_entries.size(), kTickInterval.count());
   if (ready < 0) {
     observe::CountSystemCallFailure("poll", errno);
     Pause(kTransientPause);
     return;
   }
-  auto waited = waited_for.begin() + 2;
-  for (auto it = connections_.begin(); it != connections_.end(); ++waited) {
-    Connection& connection = *it++;  // serving it may remove it
-    if (waited->revents != 0) Serve(connection);
+  auto entry = poll_entries.begin() + 2;
+  for (auto it = connections_.begin(); it != connections_.end(); ++entry) {
+    Connection& connection = *it++;  // Serve may remove the connection
+    if (entry->revents != 0) Serve(connection);
   }
-  if (waited_for[1].revents != 0) AcceptCallers();
+  if (poll_entries[1].revents != 0) AcceptCallers();
 }
 
 void OperatorServer::AcceptCallers() {
@@ -120,7 +120,8 @@
   const SteadyTime now = std::chrono::steady_clock::now();
   connection.answered = true;
   connection.deadline = now + kLingerTimeout;
-  // A reply fits into the socket's buffer; a caller that has left it no room is not waited for.
+  // A reply fits into the socket's send buffer. The server does not wait for a client whose buffer
+  // has no room.
   connection.socket.SendAll(FormatHttpReply(reply.status, reply.body), now + kTransientPause);
   shutdown(connection.socket.fd(), SHUT_WR);
 }
--- a/src/protocol/discovery.cpp
+++ b/src/protocol/discovery.cpp
@@ -45,20 +45,20 @@
   return list;
 }
 
-std::vector<std::string> ObjectCutter::Feed(std::string_view bytes) {
+std::vector<std::string> JsonObjectSplitter::Feed(std::string_view bytes) {
   std::vector<std::string> pieces;
   for (const char byte : bytes) {
     if (broken_) break;
-    if (Take(byte)) pieces.push_back(std::exchange(piece_, {}));
+    if (ProcessByte(byte)) pieces.push_back(std::exchange(piece_, {}));
     broken_ = piece_.size() > max_bytes_;
   }
   return pieces;
 }
 
-bool ObjectCutter::Take(char byte) {
+bool JsonObjectSplitter::ProcessByte(char byte) {
   const bool is_space = byte == ' ' || byte == '\t' || byte == '\r';
   if (depth_ == 0 && byte == '\n') {
-    // The end of the line on which an object ended is no empty line.
+    // The line break that follows an object does not count as an empty line.
     return !std::exchange(after_object_, false) || !piece_.empty();
   }
   if (depth_ == 0 && piece_.empty() && is_space) return false;
@@ -68,7 +68,8 @@
     escaped_ = !escaped_ && byte == '\\';
     return false;
   }
-  // Between objects only an opening brace begins one; any other text is a line of its own.
+  // Between objects, only an opening brace begins a new object; any other text is collected as a
+  // separate line.
   const bool begins = depth_ == 0 && piece_.size() == 1 && byte == '{';
   if (depth_ == 0 && !begins) return false;
   if (byte == '"') in_string_ = true;
--- a/tests/faults/acknowledge_test.py
+++ b/tests/faults/acknowledge_test.py
@@ -1,7 +1,7 @@
-"""The acknowledgement of an accepted message, to clients that leave around it.
+"""The acknowledgement of an accepted message, for clients that disconnect near it.
 
-A client that has read the whole `+OK` is owed the message's end. One that still reads
-gets an answer to each command that was read, also where it has ended its sending.
+Once a client has read a complete `+OK`, the message must end. A client that still reads
+gets an answer to each command that was read, even if it has closed its sending side.
 """
 
 import socket
@@ -13,31 +13,32 @@
 import toy_server
 from rig import FaultTest, wait_for
 
-# The states of TCP once the peer has confirmed the end of our sending: FIN_WAIT2, and
-# TIME_WAIT and CLOSE once it has ended its own.
+# The TCP states after the peer has acknowledged our FIN: FIN_WAIT2, and TIME_WAIT and
+# CLOSE once the peer has closed its side as well.
 CONFIRMED_STATES = (5, 6, 7)
 LEFT_MS = 20000
 
 
 def end_sending(client):
-    """Half-closes the connection; the forwarder's system knows that at the return."""
+    """Half-closes the connection and waits until the forwarder's system knows it."""
     client.socket.shutdown(socket.SHUT_WR)
 
     def is_confirmed():
         info = client.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)
         return info[0] in CONFIRMED_STATES
 
-    wait_for("the confirmation of our end", is_confirmed)
+    wait_for("the acknowledgement of our FIN", is_confirmed)
 
 
 def reset(client):
-    linger = struct.pack("ii", 1, 0)  # on, for 0 s: a reset in place of an end
+    # On, for 0 s: close sends a reset instead of a FIN.
+    linger = struct.pack("ii", 1, 0)
     client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     client.close()
 
 
 def read_all(client):
-    """The lines of all replies up to the end of the connection."""
+    """Returns the lines of all replies up to the end of the connection."""
     try:
         return client.file.read().decode().splitlines()
     except ConnectionResetError:
@@ -62,29 +63,31 @@
         client.send("MSG.PUT", "0" * 16, message, fields, "body")
         return message
 
-    def judge(self, message, reply):
-        """Whether the reply says that the message is owed; it is waited for then."""
+    def record_reply(self, message, reply):
+        """Checks the reply. Returns whether it accepts the message, and records it
+        then."""
         self.assertRegex(reply, r"^(\+OK|-BUSY( \d+)?)$", message)
         if reply == "+OK":
             self.accepted.append(message)
         return reply == "+OK"
 
-    def assert_owed_end(self):
+    def assert_accepted_end(self):
         self.assert_all_end()
         self.await_none_in_flight()
         self.faults.end()
 
 
 class HalfClosedTest(AcknowledgeTest):
-    """Clients that end their sending right behind the command and read the answer."""
+    """Clients that half-close right after the command and then read the answer."""
 
     def assert_not_delivered(self, messages):
-        """Those that were refused; what was accepted has ended by now."""
+        """Checks that refused messages were not delivered; accepted ones have ended."""
         self.await_none_in_flight()
         for message in messages:
             self.assertEqual(self.calls_of(message), [])
 
-    # Guards against a connection that ends with no answer to a command that was read.
+    # Guards against a connection that ends without an answer to a command that was
+    # read.
     def test_a_client_that_ends_its_sending_gets_an_answer(self):
         self.start()
         refused = []
@@ -92,13 +95,14 @@
             client = self.connect()
             message = self.send_put(client)
             end_sending(client)
-            if not self.judge(message, client.read()):
+            if not self.record_reply(message, client.read()):
                 refused.append(message)
             self.assertEqual(client.read(), "")
-        self.assert_owed_end()
+        self.assert_accepted_end()
         self.assert_not_delivered(refused)
 
-    # Guards against the same where the end comes while the message is being recorded.
+    # Guards against the same failure when the client half-closes while the message is
+    # being recorded.
     def test_a_client_that_ends_its_sending_during_the_record_gets_an_answer(self):
         self.start()
         held = self.faults.fail("pwrite", rig.HOLD_BEFORE)
@@ -107,11 +111,11 @@
         wait_for("the record", lambda: self.faults.hits(held) > 0)
         end_sending(client)
         self.faults.end()
-        owed = self.judge(message, client.read())
-        self.assert_owed_end()
-        self.assert_not_delivered([] if owed else [message])
+        accepted = self.record_reply(message, client.read())
+        self.assert_accepted_end()
+        self.assert_not_delivered([] if accepted else [message])
 
-    # Guards against the commands behind the first one being left without an answer.
+    # Guards against leaving the commands after the first one without an answer.
     def test_each_of_several_commands_gets_an_answer(self):
         self.start()
         held = self.faults.fail("pwrite", rig.HOLD_BEFORE)
@@ -123,12 +127,12 @@
         self.faults.end()
         replies = read_all(client)
         self.assertEqual(len(replies), 5, replies)
-        refused = [m for m, r in zip(messages, replies) if not self.judge(m, r)]
+        refused = [m for m, r in zip(messages, replies) if not self.record_reply(m, r)]
         self.assertEqual(replies[-1], "+PONG")
-        self.assert_owed_end()
+        self.assert_accepted_end()
         self.assert_not_delivered(refused)
 
-    def test_a_connection_whose_state_cannot_be_told_gets_an_answer(self):
+    def test_a_connection_whose_state_cannot_be_queried_gets_an_answer(self):
         self.start()
         for error in ("ENOBUFS", "EINVAL", "ENOMEM"):
             with self.subTest(error):
@@ -136,42 +140,42 @@
                 client = self.connect()
                 message = self.send_put(client)
                 end_sending(client)
-                self.judge(message, client.read())
+                self.record_reply(message, client.read())
                 self.assertGreater(self.faults.hits(rule), 0)
-                self.assert_owed_end()
+                self.assert_accepted_end()
 
 
 class LeavingTest(AcknowledgeTest):
-    """Clients that are gone as soon as they have read `+OK`."""
+    """Clients that disconnect as soon as they have read `+OK`."""
 
-    def leave_behind(self, leave):
+    def leave_after_reply(self, leave):
         self.start()
         for _ in range(20):
             client = self.connect()
             message = self.send_put(client)
-            owed = self.judge(message, client.read())
+            accepted = self.record_reply(message, client.read())
             leave(client)
-            self.assertTrue(owed)
-        self.assert_owed_end()
+            self.assertTrue(accepted)
+        self.assert_accepted_end()
 
     def leave_before_the_send_returns(self, leave):
-        """The forwarder knows of its reply only once the client is gone."""
+        """The forwarder's send returns only after the client has disconnected."""
         self.start()
         for _ in range(5):
             client = self.connect()
             held = self.faults.fail("send", rig.HOLD_AFTER, times=1)
             message = self.send_put(client)
-            self.assertTrue(self.judge(message, client.read()))
+            self.assertTrue(self.record_reply(message, client.read()))
             self.assertEqual(self.faults.hits(held), 1)
             leave(client)
             self.faults.end()
-            self.assert_owed_end()
+            self.assert_accepted_end()
 
-    def test_a_client_that_closes_behind_its_answer(self):
-        self.leave_behind(toy_server.Client.close)
+    def test_a_client_that_closes_after_its_answer(self):
+        self.leave_after_reply(toy_server.Client.close)
 
-    def test_a_client_that_resets_behind_its_answer(self):
-        self.leave_behind(reset)
+    def test_a_client_that_resets_after_its_answer(self):
+        self.leave_after_reply(reset)
 
     def test_a_client_that_closes_before_the_send_returns(self):
         self.leave_before_the_send_returns(toy_server.Client.close)
@@ -189,9 +193,9 @@
                         self.send_put(client)
                     leave(client)
                     self.put_accepted()
-                    self.assert_owed_end()
+                    self.assert_accepted_end()
 
-    def test_pipelined_commands_of_a_client_that_leaves_behind_the_first_answers(self):
+    def test_pipelined_commands_of_a_client_that_leaves_after_the_first_answers(self):
         self.start()
         for leave in (toy_server.Client.close, reset):
             for read in range(1, 5):
@@ -199,13 +203,13 @@
                     client = self.connect()
                     messages = [self.send_put(client) for _ in range(4)]
                     for message in messages[:read]:
-                        self.judge(message, client.read())
+                        self.record_reply(message, client.read())
                     leave(client)
-                    self.assert_owed_end()
+                    self.assert_accepted_end()
 
 
 class FailingReplyTest(AcknowledgeTest):
-    """The reply's own system calls fail."""
+    """The system calls that send the reply fail."""
 
     def test_a_reply_that_is_written_in_parts(self):
         self.start()
@@ -215,8 +219,8 @@
                 client = self.connect()
                 messages = [self.send_put(client) for _ in range(commands)]
                 for message in messages:
-                    self.assertTrue(self.judge(message, client.read()))
-        self.assert_owed_end()
+                    self.assertTrue(self.record_reply(message, client.read()))
+        self.assert_accepted_end()
 
     def test_a_reply_that_fails_for_a_moment(self):
         self.start()
@@ -227,13 +231,13 @@
                     client = self.connect()
                     messages = [self.send_put(client) for _ in range(2)]
                     for message in messages:
-                        self.assertTrue(self.judge(message, client.read()))
+                        self.assertTrue(self.record_reply(message, client.read()))
                     leave(client)
                     self.assertGreater(self.faults.hits(rule), 0)
-                    self.assert_owed_end()
+                    self.assert_accepted_end()
 
     def test_a_reply_that_breaks_off_is_never_completed(self):
-        """Part of it was written: the client must not read a whole `+OK`."""
+        """Part of it was written: the client must not read a complete `+OK`."""
         self.start()
         for error in ("EPIPE", "ECONNRESET", "ENOBUFS"):
             for part in (0, 1, 4):
--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -1,13 +1,13 @@
-"""A soak: random schedules of faults against real forwarders, judged from outside.
+"""A soak: random schedules of faults on real forwarders, checked from outside.
 
-    soak.py --seeds 50 --first 1 --jobs 6     many schedules, some at once
-    soak.py --play 17                         one schedule again
+    soak.py --seeds 50 --first 1 --jobs 6     many schedules, several in parallel
+    soak.py --play 17                         a single schedule
 
 Each schedule has clients that use their connections until these break, endpoints,
 discovery, operators, and one forwarder at a time that owns the state folder, with
-successors that are started beside it. A seed fixes the schedule, not the machine's
-timing. What a failed one wrote is kept in the folder of --keep, with the history of
-each message that had no final answer in time.
+successors that are started while it runs. A seed fixes the schedule, but not the
+machine's timing. The timeline and logs of a failed schedule are written to the folder
+of --keep, with the history of messages without a final answer in time.
 """
 
 import argparse
@@ -26,11 +26,11 @@
 from soak_endpoint import Mode
 from soak_verdict import FAILED_JUDGEMENT, Verdict
 
-PLAY_S = 6  # actions begin for so long
+PLAY_S = 6  # time during which actions begin
 CLIENTS = 4
-# While a restart excuses late notifications nothing is seen of them, so most schedules
-# have few. One of these counts is drawn for each schedule.
-MOST_INTERRUPTIONS = (0, 1, 1, 2, 100)
+# Late notifications are excused around a restart and cannot be detected there, so most
+# schedules have few interruptions. Each schedule draws one of these maximum counts.
+INTERRUPTION_LIMITS = (0, 1, 1, 2, 100)
 INTERRUPTIONS = (
     "act_kill",
     "act_kill_behind_ok",
@@ -39,7 +39,7 @@
     "act_stop_and_continue",
     "act_wait_over_a_change",
 )
-WEIGHTS = {  # of actions that leave messages without a delivery; others have 1
+WEIGHTS = {  # of actions that leave messages undelivered; others have 1
     "act_agent_lists": 2,
     "act_agent_moves_with_posts": 2,
     "act_agent_posts": 4,
@@ -49,18 +49,18 @@
     "act_outage": 3,
 }
 
-# With a fault of a share of the posts nothing else keeps notifications unread.
+# With --post-share, no other action keeps notifications from being read.
 POST_SHARE_ACTIONS = ("act_endpoints", "act_outage", "act_list")
 KILL_ACTIONS = ("act_kill", "act_kill", "act_kill_behind_ok", "act_kill_in_write")
 
 
 class Soak(Verdict):
-    def __init__(self, seed, given):
+    def __init__(self, seed, arguments):
         super().__init__(seed)
-        self.keep = given.keep
-        self.unasked_answers = given.unasked_answers
-        self.post_share = given.post_share
-        self.interruptions_left = self.random.choice(MOST_INTERRUPTIONS)
+        self.keep = arguments.keep
+        self.unasked_answers = arguments.unasked_answers
+        self.post_share = arguments.post_share
+        self.interruptions_left = self.random.choice(INTERRUPTION_LIMITS)
 
     def runTest(self):
         try:
@@ -83,7 +83,7 @@
             while time.monotonic() < end:
                 time.sleep(self.random.random() * 0.4)
                 getattr(self, self.draw_action())()
-            self.calm()
+            self.stop_all_faults()
         finally:
             self.stopping.set()
             for client in clients:
@@ -103,8 +103,8 @@
         self.interruptions_left -= name in INTERRUPTIONS
         return name
 
-    def calm(self):
-        """All faults are over, and one process serves."""
+    def stop_all_faults(self):
+        """Ends all faults and the successor, and waits until one process serves."""
         for timer in self.timers:
             timer.cancel()
         for agent in self.discoveries:
@@ -131,22 +131,22 @@
                 out.writelines(line + "\n" for line in forwarder.log)
 
 
-def play(seed, given):
-    """Whether the schedule held, and what to say of it."""
+def play(seed, arguments):
+    """Plays one schedule. Returns whether it passed, and a summary."""
     text = io.StringIO()
-    soak = Soak(seed, given)
-    held = unittest.TextTestRunner(stream=text).run(soak).wasSuccessful()
-    told = ("accepted", "late ")
-    summary = [line for _, line in soak.events if line.startswith(told)]
-    return held, " ".join(summary + ([] if held else [text.getvalue()]))
+    soak = Soak(seed, arguments)
+    passed = unittest.TextTestRunner(stream=text).run(soak).wasSuccessful()
+    prefixes = ("accepted", "late ")
+    summary = [line for _, line in soak.events if line.startswith(prefixes)]
+    return passed, " ".join(summary + ([] if passed else [text.getvalue()]))
 
 
-def play_in_process(seed, given):
-    command = [sys.executable, __file__, "--play", str(seed), "--keep", given.keep]
-    if given.unasked_answers:
+def play_in_process(seed, arguments):
+    command = [sys.executable, __file__, "--play", str(seed), "--keep", arguments.keep]
+    if arguments.unasked_answers:
         command.append("--unasked-answers")
-    if given.post_share is not None:
-        command += ["--post-share", "%s:%s" % given.post_share]
+    if arguments.post_share is not None:
+        command += ["--post-share", "%s:%s" % arguments.post_share]
     done = subprocess.run(command, capture_output=True, text=True)
     return seed, done.returncode == 0, done.stdout + done.stderr
 
@@ -159,13 +159,13 @@
 
 
 def failed_judgements(text):
-    """The names of the judgements that a schedule has failed."""
+    """Returns the names of the checks that a schedule failed."""
     names = re.findall(FAILED_JUDGEMENT + " ([a-z ]+):", text)
     return sorted(set(names)) or ["before the judgement"]
 
 
-def counted(text):
-    """What a schedule's summary counts."""
+def parse_counts(text):
+    """Returns the counts in a schedule's summary."""
     found = re.findall(r"\b(accepted|notified|open|late) (\d+)\b", text)
     return {name: int(count) for name, count in found}
 
@@ -176,41 +176,44 @@
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--jobs", type=int, default=6)
     parser.add_argument("--keep", default="soak-failures")
-    parser.add_argument("--play", type=int, help="one seed alone")
+    parser.add_argument("--play", type=int, help="play only this seed")
     parser.add_argument(
         "--unasked-answers",
         action="store_true",
-        help="endpoints may also write a second answer that nobody asked for, on which"
-        " the program loses messages",
+        help="endpoints may also write a second, unsolicited answer, after which the"
+        " program loses messages",
     )
     parser.add_argument(
         "--post-share",
         type=parse_post_share,
         metavar="FAULT:SHARE",
-        help="a share of all posts, drawn post by post, meets a fault: %s"
+        help="inject a fault into a random share of all posts: %s"
         % ", ".join(PostShare.FAULTS),
     )
-    given = parser.parse_args()
-    if given.play is not None:
-        held, text = play(given.play, given)
+    arguments = parser.parse_args()
+    if arguments.play is not None:
+        passed, text = play(arguments.play, arguments)
         print(text)
-        return 0 if held else 1
+        return 0 if passed else 1
     failed = []
     judgements = collections.Counter()
     totals = collections.Counter()
-    with concurrent.futures.ThreadPoolExecutor(given.jobs) as pool:
-        seeds = range(given.first, given.first + given.seeds)
-        for seed, held, text in pool.map(
-            lambda seed: play_in_process(seed, given), seeds
+    with concurrent.futures.ThreadPoolExecutor(arguments.jobs) as pool:
+        seeds = range(arguments.first, arguments.first + arguments.seeds)
+        for seed, passed, text in pool.map(
+            lambda seed: play_in_process(seed, arguments), seeds
         ):
-            print("seed %d %s %s" % (seed, "held" if held else "FAILED", text.strip()))
+            print(
+                "seed %d %s %s" % (seed, "held" if passed else "FAILED", text.strip())
+            )
             sys.stdout.flush()
-            totals.update(counted(text))
-            if not held:
+            totals.update(parse_counts(text))
+            if not passed:
                 failed.append(seed)
                 judgements.update(failed_judgements(text))
     print(
-        "%d of %d held; failed: %s" % (given.seeds - len(failed), given.seeds, failed)
+        "%d of %d held; failed: %s"
+        % (arguments.seeds - len(failed), arguments.seeds, failed)
     )
     print("in all: " + ", ".join("%s %d" % item for item in totals.items()))
     for name, count in sorted(judgements.items()):
--- a/tests/faults/soak_scheduling.py
+++ b/tests/faults/soak_scheduling.py
@@ -1,17 +1,18 @@
-"""How long threads of a forwarder wait for a processor, as the system counts it.
+"""Measures how long threads of a forwarder wait for a processor.
 
-Evidence for whoever reads a failed schedule: nothing is excused by it.
+The times come from the kernel's scheduling statistics. They help to explain a failed
+schedule; they excuse no failure.
 """
 
 import pathlib
 import threading
 
 SAMPLE_S = 0.03
-WORTH_TELLING_S = 0.03
+LOG_THRESHOLD_S = 0.03
 
 
 def read_waits(pid):
-    """Seconds that each thread has waited so far, by its number."""
+    """Returns the seconds that each thread has waited so far, by thread id."""
     waits = {}
     for path in pathlib.Path("/proc/%d/task" % pid).glob("*/schedstat"):
         try:
@@ -22,11 +23,11 @@
 
 
 class ProcessorWaits:
-    """Calls `tell` for each wait of the process that `pid` returns."""
+    """Calls `log` for each long wait of a thread of the process that `pid` returns."""
 
-    def __init__(self, pid, tell):
+    def __init__(self, pid, log):
         self.pid = pid
-        self.tell = tell
+        self.log = log
         self.stopping = threading.Event()
         self.thread = threading.Thread(target=self.run, daemon=True)
         self.thread.start()
@@ -37,8 +38,8 @@
             pid = self.pid()
             now = {} if pid is None else read_waits(pid)
             waits = [now[thread] - before.get(thread, now[thread]) for thread in now]
-            if max(waits, default=0) >= WORTH_TELLING_S:
-                self.tell("a thread waited %.3f s for a processor" % max(waits))
+            if max(waits, default=0) >= LOG_THRESHOLD_S:
+                self.log("a thread waited %.3f s for a processor" % max(waits))
             before = now
 
     def stop(self):
--- a/tests/faults/soak_stage.py
+++ b/tests/faults/soak_stage.py
@@ -1,4 +1,4 @@
-"""What a schedule of the soak plays on: endpoints, agents, processes and clients."""
+"""The setup of a schedule of the soak: endpoints, agents, processes and clients."""
 
 import random
 import threading
@@ -11,13 +11,13 @@
 from soak_endpoint import SoakEndpoint
 from soak_scheduling import ProcessorWaits
 
-ONCE, REPEATABLE = "once", "plan-event"  # classes by what a repeat may do
-READY_S = 10  # after the end of the process before
+ONCE, REPEATABLE = "once", "plan-event"  # classes: repeats forbidden, repeats allowed
+READY_S = 10  # limit after the end of the previous process
 LEFT_MS = (300, 500, 800, 1500, 1500, 3000, 4500)
 
 
 class Stage(FaultTest):
-    post_share = None  # a fault of PostShare, and the share of posts that it meets
+    post_share = None  # (fault name of PostShare, share of posts)
 
     def __init__(self, seed):
         super().__init__()
@@ -44,10 +44,10 @@
         self.processes = []
         self.current = None
         self.successor = None
-        self.out = {}  # endpoints that operators took out, and since when
-        self.drain_spans = []  # name, begin, end
-        self.excused_spans = []  # in which no notification is overdue
-        self.long_holds = []  # in which the time does not count
+        self.excluded = {}  # endpoints in maintenance: time of entry by name
+        self.drain_spans = []  # (name, begin, end)
+        self.excused_spans = []  # (begin, end); no notification is overdue in them
+        self.long_pauses = []  # (begin, end); time limits do not run in them
         self.restart_began = None
         self.timers = []
         self.heartbeat = soak_judge.Heartbeat()
@@ -63,8 +63,8 @@
         self.discovery = self.new_stand_in(SoakAgent)
         if self.post_share is not None:
             name, share = self.post_share
-            chance = self.random.random()
-            self.discovery.post_share = PostShare(name, share, chance)
+            seed = self.random.random()
+            self.discovery.post_share = PostShare(name, share, seed)
         self.addCleanup(self.discovery.release.set)
         self.discovery.revision = revision
         self.discovery.members = self.members()
@@ -92,12 +92,12 @@
         self.note("started", forwarder.process.pid)
         return forwarder
 
-    def put_one(self, client, chance):
-        """One message on an open connection; its reply."""
-        name = ONCE if chance.random() < 0.5 else REPEATABLE
-        left_ms = chance.choice(LEFT_MS)
+    def put_one(self, client, rng):
+        """Submits one message on an open connection. Returns the reply."""
+        name = ONCE if rng.random() < 0.5 else REPEATABLE
+        left_ms = rng.choice(LEFT_MS)
         fields = "c=%s,t=acme" % name
-        body = "x" * chance.choice((10, 900, 900, 20000))
+        body = "x" * rng.choice((10, 900, 900, 20000))
         sent_at = time.monotonic()
         message, reply = client.put(
             rig.DESTINATION, body, left_ms=left_ms, fields=fields
@@ -112,7 +112,7 @@
         return reply
 
     def run_client(self, seed):
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         while not self.stopping.is_set():
             try:
                 client = rig.toy_server.Client(self.listen, timeout=3)
@@ -120,8 +120,8 @@
                 time.sleep(0.02)
                 continue
             try:
-                while not self.stopping.is_set() and self.put_one(client, chance):
-                    time.sleep(chance.random() * 0.04)
+                while not self.stopping.is_set() and self.put_one(client, rng):
+                    time.sleep(rng.random() * 0.04)
             except OSError:
                 pass
             finally:
--- a/tests/network/folder_owner_test.cpp
+++ b/tests/network/folder_owner_test.cpp
@@ -27,72 +27,72 @@
   std::string path;
 };
 
-TEST_CASE("a folder has one owner, until that one is gone") {
+TEST_CASE("a folder has one owner at a time") {
   const StateFolder folder;
   std::optional<FolderOwner> first(folder.path);
   FolderOwner second(folder.path);
-  CHECK(first->Acquire() == Outcome::kHeld);
-  CHECK(first->Acquire() == Outcome::kHeld);
-  CHECK(second.Acquire() == Outcome::kTaken);
+  CHECK(first->Acquire() == Outcome::kAcquired);
+  CHECK(first->Acquire() == Outcome::kAcquired);
+  CHECK(second.Acquire() == Outcome::kHeldByOther);
   CHECK(second.ReadHolder().process_id == getpid());
   first.reset();
-  CHECK(second.Acquire() == Outcome::kHeld);
+  CHECK(second.Acquire() == Outcome::kAcquired);
 }
 
-TEST_CASE("an owner reads what the one before has left") {
+TEST_CASE("an owner reads the note of its predecessor") {
   const StateFolder folder;
-  CHECK(FolderOwner(folder.path).Acquire() == Outcome::kHeld);
+  CHECK(FolderOwner(folder.path).Acquire() == Outcome::kAcquired);
   {
     FolderOwner owner(folder.path);
-    REQUIRE(owner.Acquire() == Outcome::kHeld);
+    REQUIRE(owner.Acquire() == Outcome::kAcquired);
     CHECK(owner.predecessor().process_id == getpid());
     CHECK_FALSE(owner.predecessor().open_messages);  // it did not end gracefully
-    owner.RecordEnd(7);
+    owner.RecordGracefulEnd(7);
   }
   FolderOwner owner(folder.path);
-  REQUIRE(owner.Acquire() == Outcome::kHeld);
+  REQUIRE(owner.Acquire() == Outcome::kAcquired);
   CHECK(owner.predecessor().open_messages == 7);
   CHECK_FALSE(owner.ReadHolder().open_messages);
   CHECK(fs::file_size(folder.path + "/owner") <= FolderOwner::kMaxBytesOnDisk);
 }
 
-// Guards against a process that has locked the folder, but waits for its address, taking the last
-// word of its predecessor away.
-TEST_CASE("a lock alone leaves the predecessor's note as it is") {
+// Guards against overwriting the predecessor's note by a process that has locked the folder but
+// still waits for its address.
+TEST_CASE("a lock alone does not change the predecessor's note") {
   const StateFolder folder;
   {
     FolderOwner owner(folder.path);
-    REQUIRE(owner.Acquire() == Outcome::kHeld);
-    owner.RecordEnd(7);
+    REQUIRE(owner.Acquire() == Outcome::kAcquired);
+    owner.RecordGracefulEnd(7);
   }
   {
-    FolderOwner waits_in_vain(folder.path);
-    REQUIRE(waits_in_vain.Lock() == Outcome::kHeld);
-    waits_in_vain.RecordEnd(0);  // it has nothing to say
+    FolderOwner locker(folder.path);
+    REQUIRE(locker.Lock() == Outcome::kAcquired);
+    locker.RecordGracefulEnd(0);  // no effect, as it has not acquired the folder
   }
   FolderOwner owner(folder.path);
-  REQUIRE(owner.Lock() == Outcome::kHeld);
+  REQUIRE(owner.Lock() == Outcome::kAcquired);
   CHECK(owner.ReadHolder().open_messages == 7);
-  REQUIRE(owner.Acquire() == Outcome::kHeld);
+  REQUIRE(owner.Acquire() == Outcome::kAcquired);
   CHECK(owner.predecessor().open_messages == 7);
 }
 
-TEST_CASE("a predecessor's note is read behind its end, not when the folder was locked") {
+TEST_CASE("a predecessor's note is read after its end, not when the folder was locked") {
   const StateFolder folder;
   FolderOwner owner(folder.path);
-  REQUIRE(owner.Lock() == Outcome::kHeld);
-  std::ofstream(folder.path + "/owner") << "pid 12\nopen 3\n";  // of one without a lock
-  REQUIRE(owner.Acquire() == Outcome::kHeld);
+  REQUIRE(owner.Lock() == Outcome::kAcquired);
+  std::ofstream(folder.path + "/owner") << "pid 12\nopen 3\n";  // written without a lock
+  REQUIRE(owner.Acquire() == Outcome::kAcquired);
   CHECK(owner.predecessor().process_id == 12);
   CHECK(owner.predecessor().open_messages == 3);
 }
 
-TEST_CASE("a note that can't be understood says nothing") {
+TEST_CASE("a note that can't be parsed is ignored") {
   for (const char* text : {"", "pid", "pid x", "open", "\0\1", "open 5x pid 3"}) {
     const StateFolder folder;
     std::ofstream(folder.path + "/owner") << text;
     FolderOwner owner(folder.path);
-    REQUIRE(owner.Acquire() == Outcome::kHeld);
+    REQUIRE(owner.Acquire() == Outcome::kAcquired);
     CHECK(owner.predecessor().process_id == 0);
   }
 }
@@ -100,16 +100,16 @@
 TEST_CASE("a folder that can't be locked has no owner") {
   FolderOwner owner("/nonexistent/folder");
   CHECK(owner.Acquire() == Outcome::kFailed);
-  owner.RecordEnd(1);
+  owner.RecordGracefulEnd(1);
   CHECK(owner.ReadHolder().process_id == 0);
 }
 
-TEST_CASE("a spool touches nothing in a folder that another process owns") {
+TEST_CASE("a spool changes nothing in a folder that another process owns") {
   const StateFolder folder;
   std::ofstream(folder.path + "/spool") << "BRSPOOL1torn";
   std::ofstream(folder.path + "/spool.new") << "being written";
   std::optional<FolderOwner> other(folder.path);
-  REQUIRE(other->Acquire() == Outcome::kHeld);
+  REQUIRE(other->Acquire() == Outcome::kAcquired);
   int reports = 0;
   FolderOwner owner(folder.path);
   Spool spool(owner, 1'000'000, [&](const std::string&) { ++reports; });
--- a/tests/spool/salvage_test.cpp
+++ b/tests/spool/salvage_test.cpp
@@ -1,4 +1,4 @@
-// Spools with damaged places: only what was damaged is missing, and it is named.
+// Spool files with damage: only the damaged records are lost, and the damage is reported.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -20,11 +20,11 @@
 
 namespace fs = std::filesystem;
 
-constexpr std::size_t kDisk = 3'000'000;
+constexpr std::size_t kDiskBytes = 3'000'000;
 constexpr std::size_t kHeaderBytes = 8;
 constexpr const char* kHeader = "BRSPOOL1";
 
-// A stored file, and what is known of its records.
+// A record in the stored file, and the file with all its records.
 struct StoredRecord {
   std::size_t offset = 0;
   std::size_t bytes = 0;
@@ -74,9 +74,9 @@
   return file;
 }
 
-using Places = std::vector<std::pair<std::size_t, std::size_t>>;  // first and behind the last byte
+using Places = std::vector<std::pair<std::size_t, std::size_t>>;  // [begin, end) of each place
 
-// Changes bytes behind the header; each byte of a place is changed.
+// Changes all bytes of `places` random places after the header.
 Places Damage(std::string& bytes, std::mt19937& random, int places) {
   Places damaged;
   for (int i = 0; i < places; ++i) {
@@ -90,7 +90,7 @@
   return damaged;
 }
 
-bool IsHit(const StoredRecord& record, const Places& places) {
+bool OverlapsAny(const StoredRecord& record, const Places& places) {
   return std::any_of(places.begin(), places.end(), [&](const auto& place) {
     return place.first < record.offset + record.bytes && record.offset < place.second;
   });
@@ -107,13 +107,13 @@
   void Write(const std::string& bytes) const {
     std::ofstream(path_ + "/spool", std::ios::binary) << bytes;
   }
-  std::string Kept() const {
+  std::string SavedDamage() const {
     std::ifstream in(path_ + "/spool.cut", std::ios::binary);
     return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
   }
   std::vector<RecoveredMessage> Recover(std::vector<std::string>* reports = nullptr) const {
     FolderOwner owner(path_);
-    Spool spool(owner, kDisk, [&](const std::string& text) {
+    Spool spool(owner, kDiskBytes, [&](const std::string& text) {
       if (reports != nullptr) reports->push_back(text);
     });
     return spool.Recover();
@@ -128,7 +128,7 @@
                      [](const SpooledAttempt& attempt) { return !attempt.known_not_run; });
 }
 
-bool IsNamed(std::size_t offset, const std::vector<std::string>& reports) {
+bool IsReported(std::size_t offset, const std::vector<std::string>& reports) {
   const std::string place = "at offset " + std::to_string(offset);
   return std::any_of(reports.begin(), reports.end(), [&](const std::string& report) {
     const std::size_t found = report.find(place);
@@ -136,7 +136,7 @@
   });
 }
 
-TEST_CASE("damaged places cost what they hit, and are named") {
+TEST_CASE("damaged places lose only the records that they overlap, and are reported") {
   for (unsigned seed = 1; seed <= 500; ++seed) {
     CAPTURE(seed);
     std::mt19937 random(seed);
@@ -144,11 +144,11 @@
     const Places places = Damage(file.bytes, random, 1 + static_cast<int>(seed % 5));
     std::set<SpoolId> expected;
     std::set<SpoolId> accepted_before_a_gap;
-    std::set<SpoolId> named;  // offsets of the first record of each gap
+    std::set<SpoolId> gap_offsets;  // offsets of the first record of each gap
     bool in_gap = false;
     for (const StoredRecord& record : file.records) {
-      if (IsHit(record, places)) {
-        if (!in_gap) named.insert(record.offset);
+      if (OverlapsAny(record, places)) {
+        if (!in_gap) gap_offsets.insert(record.offset);
         in_gap = true;
         accepted_before_a_gap.insert(expected.begin(), expected.end());
         continue;
@@ -172,20 +172,20 @@
       }
       CHECK(recovered == expected);
     }
-    for (const std::size_t offset : named) {
+    for (const std::size_t offset : gap_offsets) {
       CAPTURE(offset);
-      CHECK(IsNamed(offset, reports));
+      CHECK(IsReported(offset, reports));
     }
-    CHECK_FALSE(folder.Kept().empty());
+    CHECK_FALSE(folder.SavedDamage().empty());
   }
 }
 
-TEST_CASE("a damaged header costs no message") {
+TEST_CASE("a damaged header loses no message") {
   std::mt19937 random(1);
   const StoredFile file = MakeFile(random);
-  const SpoolFolder whole;
-  whole.Write(file.bytes);
-  const std::size_t open = whole.Recover().size();
+  const SpoolFolder undamaged;
+  undamaged.Write(file.bytes);
+  const std::size_t open = undamaged.Recover().size();
   for (std::size_t at = 0; at < kHeaderBytes; ++at) {
     std::string bytes = file.bytes;
     bytes[at] = static_cast<char>(bytes[at] ^ 0x10);
@@ -196,7 +196,7 @@
   }
 }
 
-TEST_CASE("a torn last record was not written, and no message counts as run for it") {
+TEST_CASE("an incompletely written last record is ignored, and no message counts as run") {
   std::string bytes = kHeader + AcceptedRecord(1, "b");
   const std::string last = spool::Encode(spool::AttemptStarted{1, "endpoint", UnixMs(500)});
   for (std::size_t length = 1; length < last.size(); ++length) {
@@ -206,7 +206,7 @@
     REQUIRE(recovered.size() == 1);
     CHECK(recovered[0].attempts.empty());
   }
-  for (std::size_t at = 0; at < last.size(); ++at) {  // whole, but damaged: it was written
+  for (std::size_t at = 0; at < last.size(); ++at) {  // completely written, then damaged
     std::string damaged = last;
     damaged[at] = static_cast<char>(damaged[at] ^ 0x01);
     const SpoolFolder folder;
@@ -217,25 +217,25 @@
   }
 }
 
-TEST_CASE("what a client wrote into a damaged message is not taken for records") {
+TEST_CASE("records in the body of a damaged message are not read as records of the spool") {
   const std::string forged = spool::Encode(spool::MessageFinished{1}) + AcceptedRecord(9, "forged");
   const std::string first = kHeader + AcceptedRecord(1, "b");
   const std::string message = AcceptedRecord(2, forged + "tail");
   const std::string after = AcceptedRecord(3, "b");
-  for (const std::string& behind : {std::string(), after}) {
+  for (const std::string& following : {std::string(), after}) {
     for (const std::size_t at : {spool::kFrameBytes + 5, message.size() - 1}) {
-      std::string bytes = first + message + behind;
+      std::string bytes = first + message + following;
       bytes[first.size() + at] = static_cast<char>(bytes[first.size() + at] ^ 0x01);
       const SpoolFolder folder;
       folder.Write(bytes);
       std::set<SpoolId> recovered;
       for (const RecoveredMessage& one : folder.Recover()) recovered.insert(one.spool_id);
-      CHECK(recovered == (behind.empty() ? std::set<SpoolId>{1} : std::set<SpoolId>{1, 3}));
+      CHECK(recovered == (following.empty() ? std::set<SpoolId>{1} : std::set<SpoolId>{1, 3}));
     }
   }
 }
 
-TEST_CASE("an outcome behind a gap does not clear what may have run in it") {
+TEST_CASE("an outcome after damage does not clear an attempt that the damage may have lost") {
   std::string bytes = kHeader + AcceptedRecord(1, "b");
   const std::size_t damaged = bytes.size() + spool::kFrameBytes + 3;
   bytes += spool::Encode(spool::AttemptStarted{1, "a", UnixMs(500)});
