--- a/tests/dns/interop_test.py
+++ b/tests/dns/interop_test.py
@@ -1,8 +1,8 @@
-"""The name server and the zone reader against dnspython, which is not ours.
+"""Tests the name server and the zone file parser against dnspython.
 
-Queries, signed updates and transfers go both ways; the corpus is read by both. The
-server is killed a hundred times while updates arrive, and a secondary server follows a
-primary through its faults.
+Queries, signed updates and transfers are tested in both directions, and both programs
+parse the corpus. The server is killed a hundred times while updates arrive, and a
+secondary follows a primary through injected faults.
 """
 
 import base64
@@ -81,7 +81,7 @@
 
 
 class Server:
-    """One `zone serve`, with a folder of its own."""
+    """A `zone serve` process with its own folder."""
 
     def __init__(self, folder, zones, more="", listen="127.0.0.1:0"):
         self.folder = pathlib.Path(folder)
@@ -105,7 +105,9 @@
         )
         line = self.process.stdout.readline()
         if not line.startswith("serving on "):
-            raise RuntimeError(f"no start: {line} {(self.folder / 'log').read_text()}")
+            raise RuntimeError(
+                f"server did not start: {line} {(self.folder / 'log').read_text()}"
+            )
         self.port = int(line.rsplit(":")[1])
 
     def kill(self):
@@ -144,7 +146,7 @@
         return by(update, "127.0.0.1", port=self.port, timeout=10)
 
     def transfer(self, zone=None, key="reader.", serial=None):
-        """Into the zone, from a serial if one is given."""
+        """Transfers into the zone; requests an IXFR if a serial is given."""
         zone = zone or dns.zone.Zone("example.", relativize=False)
         query, _ = dns.xfr.make_query(
             zone,
@@ -165,7 +167,7 @@
 
 
 def records_of(zone):
-    """Each record as text; names absolute and in small letters."""
+    """Returns each record as text, with absolute names in lower case."""
     out = set()
     for name, ttl, rdata in zone.iterate_rdatas():
         text = rdata.to_generic(zone.origin).to_text()
@@ -214,7 +216,7 @@
 
 
 class Corpus(TestCase):
-    def test_both_readers_say_the_same(self):
+    def test_both_parsers_agree(self):
         # Where dnspython differs from RFC 1035 §5.1: a class before the TTL, an omitted
         # TTL (the last explicit one applies), and an $ORIGIN without a trailing dot.
         other = {"class-then-ttl", "no-default-ttl", "origin-relative"}
@@ -235,10 +237,10 @@
                         theirs = dns.zone.from_file(
                             str(file), "example.", relativize=False
                         )
-                    except Exception as fault:  # it has many kinds
+                    except Exception as fault:  # dnspython raises many kinds
                         theirs = None
                         self.assertEqual(
-                            kind, "bad", f"dnspython refuses it: {fault!r}"
+                            kind, "bad", f"dnspython refuses the file: {fault!r}"
                         )
                     if kind == "good":
                         again = dns.zone.from_text(
@@ -246,12 +248,12 @@
                         )
                         self.assertEqual(records_of(again), records_of(theirs))
                     else:
-                        self.assertIsNone(theirs, "dnspython takes it")
+                        self.assertIsNone(theirs, "dnspython accepts the file")
         self.assertGreaterEqual(count, 60)
 
 
 class Queries(TestCase):
-    def test_answers_are_read_as_they_were_meant(self):
+    def test_dnspython_parses_the_answers(self):
         server = self.serve()
         answer = server.ask("WWW.example.")
         self.assertTrue(answer.flags & dns.flags.AA)
@@ -278,7 +280,7 @@
         self.assertEqual(server.ask("other.").rcode(), dns.rcode.REFUSED)
         self.assertEqual(server.ask("www.example.", use_edns=0, payload=1232).edns, 0)
 
-    def test_an_answer_that_is_too_long_for_udp_is_asked_again_by_tcp(self):
+    def test_an_answer_too_long_for_udp_is_requested_again_over_tcp(self):
         lines = "".join(f"many A 10.0.{n // 250}.{n % 250}\n" for n in range(200))
         server = self.serve(zone=ZONE + lines)
         cut = server.ask("many.example.")
@@ -295,7 +297,7 @@
         ours = self.run_program("query", server.address, "many.example.")
         self.assertEqual(ours.stdout.count("answer many.example."), 200)
 
-    def test_a_stream_may_hold_many_questions_in_any_cuts(self):
+    def test_a_stream_may_contain_many_queries_in_any_chunks(self):
         server = self.serve()
         with socket.create_connection(("127.0.0.1", server.port), timeout=10) as stream:
             queries = [dns.message.make_query("www.example.", "A") for _ in range(20)]
@@ -308,7 +310,7 @@
                 answer, _ = dns.query.receive_tcp(stream, time.time() + 10)
                 self.assertEqual(answer.id, query.id)
 
-    def test_garbage_and_floods_leave_it_serving(self):
+    def test_the_server_survives_garbage_and_floods(self):
         server = self.serve()
         chance = random.Random(5)
         good = dns.message.make_query("www.example.", "A").to_wire()
@@ -364,7 +366,7 @@
         )
         self.assertEqual(server.ask("text.example.", "TXT").rcode(), dns.rcode.NXDOMAIN)
 
-    def test_who_may_not_is_refused(self):
+    def test_unauthorized_updates_are_refused(self):
         server = self.serve()
         update = dns.update.UpdateMessage("example.")
         update.add("x", 60, "A", "192.0.2.9")
@@ -416,7 +418,7 @@
                 dns.message.from_wire(raw, keyring=KEYS, request_mac=update.mac)
         self.assertEqual(server.serial(), 1)
 
-    def test_a_replayed_update_does_nothing_again(self):
+    def test_a_replayed_update_has_no_further_effect(self):
         server = self.serve()
         add = server.update()
         add.add("x", 60, "A", "192.0.2.9")
@@ -444,7 +446,7 @@
         self.assertEqual(server.ask("x.example.").rcode(), dns.rcode.NXDOMAIN)
         self.assertEqual(server.serial(), 3)
 
-    def test_our_client_and_its_errors(self):
+    def test_update_command_and_its_errors(self):
         server = self.serve()
         key = pathlib.Path(self.folder) / "key"
         key.write_text(f'key: {{name: "writer.", secret: "{SECRET}"}}\n')
@@ -488,10 +490,10 @@
             self.run_program("query", "127.0.0.1:1", "x.", "--wait", "50").returncode, 3
         )
 
-    def test_a_hundred_kills_lose_nothing_that_was_confirmed(self):
+    def test_a_hundred_kills_lose_no_confirmed_update(self):
         server = self.serve()
         confirmed = {}
-        tried = {}  # since the last that was confirmed
+        unconfirmed = {}  # numbers sent since the last confirmed one
         numbers = itertools.count()
         chance = random.Random(11)
         for _ in range(KILLS):
@@ -502,14 +504,14 @@
                     k = number % 50
                     update = server.update()
                     update.replace(f"k{k}", 60, "TXT", f'"{number}"')
-                    tried.setdefault(k, []).append(number)
+                    unconfirmed.setdefault(k, []).append(number)
                     try:
                         if server.send(update).rcode() != dns.rcode.NOERROR:
                             return
                     except (OSError, EOFError, dns.exception.DNSException):
                         return
                     confirmed[k] = number
-                    tried[k] = []
+                    unconfirmed[k] = []
 
             sender = threading.Thread(target=send_updates)
             sender.start()
@@ -520,13 +522,13 @@
             zone = server.transfer()
             for k, number in confirmed.items():
                 held = int(zone.get_rdataset(f"k{k}.example.", "TXT")[0].strings[0])
-                self.assertIn(held, [number, *tried[k]])
+                self.assertIn(held, [number, *unconfirmed[k]])
         self.assertGreater(len(confirmed), 0)
         self.assertGreater(next(numbers), KILLS)
 
 
 class Transfers(TestCase):
-    def test_whole_and_by_changes_to_dnspython(self):
+    def test_full_and_incremental_transfers_to_dnspython(self):
         server = self.serve()
         zone = server.transfer()
         self.assertEqual(
@@ -548,24 +550,24 @@
             dns.rcode.REFUSED,
         )
 
-    def test_serials_go_round_their_end(self):
+    def test_serials_wrap_around(self):
         last = 4294967295
         port = self.free_port()
         primary = self.serve(
             zone=ZONE.replace("host 1 ", f"host {last} "),
             more=f'notify: ["127.0.0.1:{port}"]',
         )
-        second = self.follower(primary, listen=f"127.0.0.1:{port}")
+        secondary = self.start_secondary(primary, listen=f"127.0.0.1:{port}")
         zone = primary.transfer()
-        self.assertTrue(wait_for(lambda: second.serial() == last))
+        self.assertTrue(wait_for(lambda: secondary.serial() == last))
         for n in range(3):
             self.change(primary, f"round{n}")
-            self.assertTrue(wait_for(lambda: second.serial() == n + 1))
+            self.assertTrue(wait_for(lambda: secondary.serial() == n + 1))
         primary.transfer(zone, serial=last)
-        self.assertEqual(records_of(zone), records_of(second.transfer()))
+        self.assertEqual(records_of(zone), records_of(secondary.transfer()))
 
-    def test_ours_takes_them_from_dnspython(self):
-        """A primary that dnspython's renderer and signer make."""
+    def test_transfers_from_dnspython(self):
+        """Transfers from a primary that uses dnspython's renderer and signer."""
         zone = dns.zone.from_text(ZONE, "example.", relativize=False)
         soa = zone.get_rdataset("example.", "SOA")
         records = [
@@ -644,7 +646,7 @@
         self.assertIn("-www.example. 60 IN A 192.0.2.99\n", done.stdout)
         self.assertIn("+www.example. 60 IN A 192.0.2.2\n", done.stdout)
 
-    def follower(self, primary, **more):
+    def start_secondary(self, primary, **more):
         zones = (
             '{name: "example.", primary: "%s", key: "reader.", folder: "copy"}'
             % primary.address
@@ -652,44 +654,46 @@
         return self.serve(zones, name="second", zone=None, **more)
 
     def free_port(self):
-        with socket.create_server(("127.0.0.1", 0)) as tried:
-            return tried.getsockname()[1]
+        with socket.create_server(("127.0.0.1", 0)) as probe:
+            return probe.getsockname()[1]
 
     def change(self, server, name):
         update = server.update()
         update.add(name, 60, "A", "192.0.2.50")
         self.assertEqual(server.send(update).rcode(), dns.rcode.NOERROR)
 
-    def test_a_second_follows_by_notices_and_by_timers(self):
-        # The second's address must be known to the first before it starts.
+    def test_a_secondary_follows_notifies_and_timers(self):
+        # The primary needs the address of the secondary before the secondary starts.
         port = self.free_port()
         primary = self.serve(more=f'notify: ["127.0.0.1:{port}"]')
-        second = self.follower(primary, listen=f"127.0.0.1:{port}")
-        self.assertTrue(wait_for(lambda: second.serial() == 1))
+        secondary = self.start_secondary(primary, listen=f"127.0.0.1:{port}")
+        self.assertTrue(wait_for(lambda: secondary.serial() == 1))
         for n in range(10):
             self.change(primary, f"f{n}")
-            self.assertTrue(wait_for(lambda: second.serial() == 2 + n))
-        self.assertEqual(records_of(second.transfer()), records_of(primary.transfer()))
-        log = (second.folder / "log").read_text()
+            self.assertTrue(wait_for(lambda: secondary.serial() == 2 + n))
+        self.assertEqual(
+            records_of(secondary.transfer()), records_of(primary.transfer())
+        )
+        log = (secondary.folder / "log").read_text()
         self.assertIn("zone renewed", log)
-        update = second.update()
+        update = secondary.update()
         update.add("x", 60, "A", "192.0.2.9")
-        self.assertEqual(second.send(update).rcode(), dns.rcode.REFUSED)
-        # Without the primary the copy is there after a restart, until it expires.
+        self.assertEqual(secondary.send(update).rcode(), dns.rcode.REFUSED)
+        # Without the primary the copy is served after a restart, until it expires.
         primary.kill()
-        second.kill()
-        second.start()
-        self.assertEqual(second.serial(), 11)
+        secondary.kill()
+        secondary.start()
+        self.assertEqual(secondary.serial(), 11)
         primary.start()
         self.change(primary, "later")
-        self.assertTrue(wait_for(lambda: second.serial() == 12))
+        self.assertTrue(wait_for(lambda: secondary.serial() == 12))
 
-    def test_a_quiet_a_lying_and_a_breaking_primary_change_nothing(self):
+    def test_faults_of_the_primary_do_not_change_the_secondary(self):
         primary = self.serve()
         port = primary.port
-        second = self.follower(primary)
-        self.assertTrue(wait_for(lambda: second.serial() == 1))
-        before = records_of(second.transfer())
+        secondary = self.start_secondary(primary)
+        self.assertTrue(wait_for(lambda: secondary.serial() == 1))
+        before = records_of(secondary.transfer())
         for fault in (
             "quiet: true",
             "refuse: true",
@@ -703,29 +707,29 @@
                 primary.more = f"faults: [{{at: 0s, for: 10m, {fault}}}]"
                 primary.port = port
                 primary.start()
-                self.change_through(primary)
-                mark = len((second.folder / "log").read_text())
+                self.send_change_without_answer(primary)
+                mark = len((secondary.folder / "log").read_text())
                 self.assertTrue(
                     wait_for(
                         lambda: "zone not renewed"
-                        in (second.folder / "log").read_text()[mark:]
+                        in (secondary.folder / "log").read_text()[mark:]
                         or fault.startswith("serial: 99")
                     )
                 )
                 if fault.startswith("serial: 99"):
-                    # It claims a newer serial than it has; what it then sends is newer
-                    # and correct.
+                    # The primary claims a newer serial than it has, but the zone that
+                    # it then sends is correct and newer than the copy.
                     continue
-                self.assertEqual(records_of(second.transfer()), before)
+                self.assertEqual(records_of(secondary.transfer()), before)
         primary.stop()
         primary.more = ""
         primary.port = port
         primary.start()
         self.change(primary, "now")
-        self.assertTrue(wait_for(lambda: second.ask("now.example.").answer))
+        self.assertTrue(wait_for(lambda: secondary.ask("now.example.").answer))
 
-    def change_through(self, primary):
-        """A change that the primary makes, whether or not it says so."""
+    def send_change_without_answer(self, primary):
+        """Sends an update to the primary without waiting for the answer."""
         update = primary.update()
         update.add(f"c{time.monotonic_ns()}", 60, "A", "192.0.2.50")
         wire = update.to_wire()
@@ -737,18 +741,20 @@
     def test_a_zone_whose_primary_is_gone_expires(self):
         zone = ZONE.replace("1 2 1 30 5", "1 1 1 3 5")
         primary = self.serve(zone=zone)
-        second = self.follower(primary)
-        self.assertTrue(wait_for(lambda: second.serial() == 1))
+        secondary = self.start_secondary(primary)
+        self.assertTrue(wait_for(lambda: secondary.serial() == 1))
         primary.kill()
         self.assertTrue(
-            wait_for(lambda: second.ask("www.example.").rcode() == dns.rcode.SERVFAIL)
+            wait_for(
+                lambda: secondary.ask("www.example.").rcode() == dns.rcode.SERVFAIL
+            )
         )
         primary.start()
-        self.assertTrue(wait_for(lambda: second.ask("www.example.").answer))
+        self.assertTrue(wait_for(lambda: secondary.ask("www.example.").answer))
 
 
 class Files(TestCase):
-    def test_a_changed_file_is_taken_up_and_a_bad_one_is_not(self):
+    def test_a_changed_file_is_loaded_and_an_invalid_one_is_not(self):
         server = self.serve('{name: "example.", file: "example.zone"}')
         file = server.folder / "example.zone"
 
@@ -775,7 +781,7 @@
     def log(self, server):
         return (server.folder / "log").read_text()
 
-    def test_a_bad_file_at_the_start_is_answered_by_servfail_until_it_is_good(self):
+    def test_an_invalid_file_at_the_start_causes_servfail_until_it_is_valid(self):
         server = self.serve(
             '{name: "example.", file: "example.zone"}', zone="nothing\n"
         )
@@ -783,7 +789,7 @@
         (server.folder / "example.zone").write_text(ZONE)
         self.assertTrue(wait_for(lambda: server.ask("www.example.").answer))
 
-    def test_the_example_of_an_operator_file_is_good(self):
+    def test_the_example_operator_file_is_valid(self):
         schema = pathlib.Path(self.folder) / "schema"
         schema.write_text(self.run_program("schema").stdout)
         example = CORPUS.parents[2] / "deploy" / "sources.records"
@@ -802,7 +808,7 @@
         )
         self.assertEqual(done.returncode, 0, done.stderr)
 
-    def test_settings_that_cannot_be_are_refused_with_their_place(self):
+    def test_invalid_settings_are_refused_with_their_position(self):
         file = pathlib.Path(self.folder) / "bad.records"
         for text, why in (
             ('zones: [{name: "a..b", file: "x"}]', "empty label"),
--- a/tests/dns/tsig_test.cpp
+++ b/tests/dns/tsig_test.cpp
@@ -132,7 +132,7 @@
   for (const auto& bytes : parts) CHECK(Checked(client, bytes) == TsigError::kNone);
   CHECK(Checked(client, part(9)) == TsigError::kNone);
 
-  // A missing message is detected.
+  // A missing or reordered message is detected.
   TsigSession again(SomeKey());
   again.Sign(Encode(Query()), kNow);
   CHECK(Checked(again, parts[0]) == TsigError::kNone);
