--- a/src/nameserver/host.cpp
+++ b/src/nameserver/host.cpp
@@ -60,15 +60,15 @@
   });
   server_->OnNotices([this](const dns::Name& zone, std::optional<std::uint32_t> serial) {
     for (HostedZone& hosted : hosted_) {
-      if (hosted.following && hosted.settings.name == zone) hosted.following->OnNotify(serial);
+      if (hosted.secondary && hosted.settings.name == zone) hosted.secondary->OnNotify(serial);
     }
   });
   const std::lock_guard lock(zones_mutex_);
   for (HostedZone& hosted : hosted_) {
-    if (!hosted.followed) continue;
-    RequestOptions ask;
-    ask.server = hosted.settings.primary;
-    ask.key = hosted.settings.key;
+    if (!hosted.secondary_copy) continue;
+    RequestOptions request;
+    request.server = hosted.settings.primary;
+    request.key = hosted.settings.key;
     ZoneWatcher with_notices = watcher_;
     const std::string& folder = hosted.settings.folder;
     with_notices.changed = [this, &folder](const dns::Zone& zone, const dns::Change* change) {
@@ -80,8 +80,9 @@
       RecordConfirmation(folder);
       if (watcher_.confirmed) watcher_.confirmed(zone);
     };
-    hosted.following = std::make_unique<SecondaryZone>(
-        *hosted.followed, zones_mutex_, std::move(ask), hosted.copy_age, std::move(with_notices));
+    hosted.secondary =
+        std::make_unique<SecondaryZone>(*hosted.secondary_copy, zones_mutex_, std::move(request),
+                                        hosted.copy_age, std::move(with_notices));
   }
   thread_ = Thread::Require("dns-files", [this] { Run(); });
 }
@@ -95,15 +96,15 @@
   thread_.Join();
   // NotificationClient end before those who take them.
   server_->OnNotices(nullptr);
-  for (HostedZone& hosted : hosted_) hosted.following.reset();
+  for (HostedZone& hosted : hosted_) hosted.secondary.reset();
   server_.reset();
 }
 
 void Host::Open(HostedZone& hosted) {
   const ZoneSettings& zone = hosted.settings;
   if (!zone.primary.empty()) {
-    hosted.followed = std::make_unique<FollowedZone>(zone.name, zone.folder);
-    hosted.manager = hosted.followed.get();
+    hosted.secondary_copy = std::make_unique<SecondaryZoneCopy>(zone.name, zone.folder);
+    hosted.manager = hosted.secondary_copy.get();
     struct stat state {};
     if (!zone.folder.empty() && stat((zone.folder + "/confirmed").c_str(), &state) == 0) {
       hosted.copy_age = std::max<double>(0, static_cast<double>(time(nullptr) - state.st_mtime));
--- a/src/nameserver/host.hpp
+++ b/src/nameserver/host.hpp
@@ -1,6 +1,6 @@
 // A complete name server: its zones from files, folders and primaries, the server, and injected
-// faults. `zone serve` and rehearsals run one, and so does a forwarder that reads its endpoints from
-// zones.
+// faults. `zone serve` and rehearsals run one, and so does a forwarder that reads its endpoints
+// from zones.
 #ifndef BRASSFRONT_NAMESERVER_HOST_HPP_
 #define BRASSFRONT_NAMESERVER_HOST_HPP_
 
@@ -39,9 +39,9 @@
     ZoneSettings settings;
     std::unique_ptr<StoredZone> stored;
     std::unique_ptr<FileZone> from_file;
-    std::unique_ptr<FollowedZone> followed;
+    std::unique_ptr<SecondaryZoneCopy> secondary_copy;
     ZoneManager* manager = nullptr;  // points to the one of these three that is set
-    std::unique_ptr<SecondaryZone> following;
+    std::unique_ptr<SecondaryZone> secondary;
     // Stamps of the file: when it was last read, and when it was last checked.
     std::optional<zones::FileStamp> loaded_stamp, seen_stamp;
     bool good = false;    // the file was valid when it was last read, and its data was applied
--- a/src/nameserver/secondary_zone.cpp
+++ b/src/nameserver/secondary_zone.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-SecondaryZone::SecondaryZone(FollowedZone& zone, std::mutex& mutex, RequestOptions options,
+SecondaryZone::SecondaryZone(SecondaryZoneCopy& zone, std::mutex& mutex, RequestOptions options,
                              double age, ZoneWatcher watcher)
     : zone_(zone),
       zones_mutex_(mutex),
--- a/src/nameserver/secondary_zone.hpp
+++ b/src/nameserver/secondary_zone.hpp
@@ -32,7 +32,7 @@
  public:
   // `mutex` guards the zone. `age` is the time in seconds since the data of the zone was last
   // confirmed.
-  SecondaryZone(FollowedZone& zone, std::mutex& mutex, RequestOptions options, double age,
+  SecondaryZone(SecondaryZoneCopy& zone, std::mutex& mutex, RequestOptions options, double age,
                 ZoneWatcher watcher);
   ~SecondaryZone();
 
@@ -57,7 +57,7 @@
   void ReportFailure(const std::string& why);  // with the zones' mutex locked
   void Fail(const std::string& why);
 
-  FollowedZone& zone_;
+  SecondaryZoneCopy& zone_;
   std::mutex& zones_mutex_;
   const RequestOptions options_;
   const ZoneWatcher watcher_;
--- a/src/nameserver/zone_managers.hpp
+++ b/src/nameserver/zone_managers.hpp
@@ -61,13 +61,13 @@
 };
 
 // A copy of a primary's zone. SecondaryZone writes to it and marks it as expired.
-class FollowedZone : public ZoneManager {
+class SecondaryZoneCopy : public ZoneManager {
  public:
   // If a folder is given, the copy survives the process. Throws zones::StoreError.
-  FollowedZone(const dns::Name& origin, const std::string& folder) : zone_(origin) {
+  SecondaryZoneCopy(const dns::Name& origin, const std::string& folder) : zone_(origin) {
     if (!folder.empty()) store_.emplace(folder, origin, zones::ZoneStore::Options{});
   }
-  explicit FollowedZone(const dns::Name& origin) : FollowedZone(origin, "") {}
+  explicit SecondaryZoneCopy(const dns::Name& origin) : SecondaryZoneCopy(origin, "") {}
 
   [[nodiscard]] const dns::Zone& zone() const override { return store_ ? store_->zone() : zone_; }
   [[nodiscard]] bool answers() const override { return zone().has_soa() && !expired_; }
--- a/tests/dns/responder_test.cpp
+++ b/tests/dns/responder_test.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::uint64_t kNow = 1'800'000'000;
 const Name kOrigin = Name::FromLiteral("example.");
-const Name kFollowed = Name::FromLiteral("followed.");
+const Name kSecondary = Name::FromLiteral("followed.");
 
 Key KeyNamed(const char* name) {
   return {Name::FromLiteral(name), Algorithm::kHmacSha256, std::string(32, name[0])};
@@ -30,9 +30,9 @@
 }
 
 struct ResponderFixture {
-  ResponderFixture() : primary(SmallZone(kOrigin)), followed(kFollowed) {
+  ResponderFixture() : primary(SmallZone(kOrigin)), secondary(kSecondary) {
     responder.AddZone(&primary);
-    responder.AddZone(&followed);
+    responder.AddZone(&secondary);
     KeyRing keys;
     for (const char* name : {"writer.", "reader."}) {
       keys.emplace(Name::FromLiteral(name).Key(), KeyNamed(name));
@@ -64,7 +64,7 @@
   }
 
   MemoryZone primary;
-  FollowedZone followed;
+  SecondaryZoneCopy secondary;
   Responder responder;
   std::string event;
 };
@@ -104,9 +104,9 @@
   CHECK(fixture.Ask(Query("a.other.")).rcode == Rcode::kRefused);
   CHECK(fixture.Ask(Query("a.followed.")).rcode == Rcode::kServFail);
   std::string why;
-  REQUIRE(fixture.followed.Replace(SmallZone(kFollowed), why));
+  REQUIRE(fixture.secondary.Replace(SmallZone(kSecondary), why));
   CHECK(fixture.Ask(Query("a.followed.")).answer.size() == 1);
-  fixture.followed.set_expired(true);
+  fixture.secondary.set_expired(true);
   CHECK(fixture.Ask(Query("a.followed.")).rcode == Rcode::kServFail);
   Message two = Query("a.example.");
   two.question.push_back(two.question[0]);
@@ -171,10 +171,10 @@
   TsigSession writer(KeyNamed("writer."));
   CHECK(fixture.Signed(writer.Sign(Encode(Add("b.example.")), kNow), writer) == "NOERROR");
   CHECK(fixture.event == "updated example. to serial 2");
-  Message followed = Add("b.followed.");
-  followed.question[0].name = kFollowed;
+  Message secondary = Add("b.followed.");
+  secondary.question[0].name = kSecondary;
   TsigSession again(KeyNamed("writer."));
-  CHECK(fixture.Signed(again.Sign(Encode(followed), kNow), again) == "REFUSED");
+  CHECK(fixture.Signed(again.Sign(Encode(secondary), kNow), again) == "REFUSED");
 }
 
 TEST_CASE("a request whose time is ten minutes off gets a signed BADTIME and has no effect") {
@@ -253,11 +253,11 @@
   Message notice = Query("example.", type::kSoa);
   notice.opcode = Opcode::kNotify;
   CHECK(fixture.Ask(notice).rcode == Rcode::kNotAuth);
-  notice.question[0].name = kFollowed;
-  notice.answer = {SmallZone(kFollowed).Soa()};
+  notice.question[0].name = kSecondary;
+  notice.answer = {SmallZone(kSecondary).Soa()};
   const auto reply = fixture.responder.Answer(Encode(notice), false, kNow);
   REQUIRE(reply.notified != nullptr);
-  CHECK(*reply.notified == kFollowed);
+  CHECK(*reply.notified == kSecondary);
   CHECK(reply.notified_serial == 1);
 }
 
