--- a/fuzz/tsig.cpp
+++ b/fuzz/tsig.cpp
@@ -7,7 +7,8 @@
 
 void ProcessInput(std::string_view bytes) {
   constexpr std::uint64_t kNow = 1'800'000'000;
-  const dns::Key key{dns::Name::Known("key."), dns::Algorithm::kHmacSha256, std::string(32, 'k')};
+  const dns::Key key{dns::Name::FromLiteral("key."), dns::Algorithm::kHmacSha256,
+                     std::string(32, 'k')};
   dns::KeyRing keys;
   keys.emplace(key.name.Key(), key);
   const dns::Decoded decoded = dns::Decode(bytes);
@@ -18,7 +19,7 @@
     Require(session.Check(bytes, *decoded.message, kNow) != dns::TsigError::kNone,
             "no fuzzed message has a valid signature");
   }
-  ErrorIn(*decoded.message);
+  TsigErrorOf(*decoded.message);
   if (decoded.message->tsig) {
     WithTsigError(Encode(ReplyTo(*decoded.message, dns::Rcode::kNotAuth)), *decoded.message,
                   dns::TsigError::kBadKey);
--- a/src/dns/rdata.cpp
+++ b/src/dns/rdata.cpp
@@ -29,7 +29,7 @@
     {type::kHttps, "HTTPS", {kU16, kStrictName, kSvcParams}},
 });
 
-// Mnemonics of what is asked for or signed, but holds no data of a zone.
+// Mnemonics of query and meta types, which are not part of the data of a zone.
 using Mnemonic = std::pair<std::uint16_t, const char*>;
 constexpr auto kOtherTypes = std::to_array<Mnemonic>({{type::kOpt, "OPT"},
                                                       {type::kTsig, "TSIG"},
@@ -86,7 +86,7 @@
     if (text == kSvcKeys[key]) return static_cast<std::uint16_t>(key);
   }
   if (!text.starts_with("key") || (text.size() > 4 && text[3] == '0')) return std::nullopt;
-  const auto key = WholeNumber<std::uint16_t>(text.substr(3));
+  const auto key = ParseUnsigned<std::uint16_t>(text.substr(3));
   return key == 65535 ? std::nullopt : key;
 }
 
@@ -94,7 +94,7 @@
   return key < kSvcKeys.size() ? kSvcKeys[key] : "key" + std::to_string(key);
 }
 
-// At commas; one with a backslash before it is part of a value, as is a backslash so (A.1).
+// Splits at commas. `\,` and `\\` stand for a comma and a backslash within a value (RFC 9460 A.1).
 std::vector<std::string> CommaList(std::string_view text) {
   std::vector<std::string> parts(1);
   for (std::size_t at = 0; at < text.size(); ++at) {
@@ -108,7 +108,7 @@
   return parts;
 }
 
-// The keys that a client must know, in their order (RFC 9460 §8).
+// Encodes the keys that a client must support, sorted (RFC 9460 §8).
 std::optional<std::string> MandatoryFromText(const std::string& text) {
   std::vector<std::uint16_t> keys;
   for (const auto& part : CommaList(text)) {
@@ -136,7 +136,7 @@
     case kNoDefaultAlpn:
       return text.empty() ? std::optional(out) : std::nullopt;
     case kPort: {
-      const auto port = WholeNumber<std::uint16_t>(text);
+      const auto port = ParseUnsigned<std::uint16_t>(text);
       if (!port) return std::nullopt;
       Put16(out, *port);
       return out;
@@ -156,7 +156,7 @@
   }
 }
 
-// Whether a value's bytes are what its key may have.
+// True if the bytes are a valid value of the key.
 bool IsSvcValue(std::uint16_t key, std::string_view value) {
   switch (key) {
     case kMandatory: {
@@ -189,7 +189,7 @@
   }
 }
 
-// Calls `take(key, value)` for each; false if the bytes are not well-formed.
+// Calls `take(key, value)` for each parameter; returns false if the bytes are malformed.
 template <typename Take>
 bool EachSvcParam(std::string_view bytes, Take take) {
   std::int32_t last = -1;
@@ -307,9 +307,10 @@
   return out;
 }
 
-// ======== the fields ========
+// ======== fields of RDATA ========
 
-// How long the field is that starts the bytes; nothing if it is not all there or not well-formed.
+// Returns the length of the field at the start of the bytes; nullopt if it is incomplete or
+// malformed.
 std::optional<std::size_t> LengthOf(Field field, std::string_view bytes) {
   const auto fixed = [&](std::size_t length) {
     return bytes.size() >= length ? std::optional(length) : std::nullopt;
@@ -326,7 +327,7 @@
     case kName:
     case kPlainName:
     case kStrictName:
-      return Name::LengthIn(bytes);
+      return Name::WireLength(bytes);
     case kStrings: {
       std::size_t at = 0;
       while (at < bytes.size()) at += 1 + static_cast<unsigned char>(bytes[at]);
@@ -342,7 +343,8 @@
 
 bool IsName(Field field) { return field == kName || field == kPlainName || field == kStrictName; }
 
-// Calls `take(field, bytes)` for each field; false where the bytes are not the type's.
+// Calls `take(field, bytes)` for each field; returns false if the bytes are not valid RDATA of the
+// type.
 template <typename Take>
 bool EachField(const TypeInfo& info, std::string_view rdata, Take take) {
   for (const Field* field = info.fields.data(); *field != kEnd; ++field) {
@@ -354,7 +356,7 @@
   return rdata.empty();
 }
 
-// Character-strings up to the end (RFC 1035 §3.3).
+// Parses all remaining tokens as character-strings (RFC 1035 §3.3).
 std::optional<std::string> StringsFromText(std::span<const Token>& tokens, std::string& why,
                                            std::size_t& at_token) {
   std::string out;
@@ -372,18 +374,18 @@
 std::optional<std::string> NumberFromText(Field field, const std::string& text, std::string& why) {
   std::optional<std::string> value;
   if (field == kU16) {
-    if (const auto number = WholeNumber<std::uint16_t>(text)) Put16(value.emplace(), *number);
+    if (const auto number = ParseUnsigned<std::uint16_t>(text)) Put16(value.emplace(), *number);
     if (!value) why = "'" + text + "' is no number from 0 to 65535";
     return value;
   }
-  const auto number = field == kU32 ? WholeNumber<std::uint32_t>(text) : SecondsFromText(text);
+  const auto number = field == kU32 ? ParseUnsigned<std::uint32_t>(text) : SecondsFromText(text);
   if (number) Put32(value.emplace(), *number);
   if (!value && field == kU32) why = "'" + text + "' is no number from 0 to 4294967295";
   if (!value && field == kSeconds) why = "'" + text + "' is no time such as 3600 or 1h30m";
   return value;
 }
 
-// A field that is one token.
+// Parses a field that consists of one token.
 std::optional<std::string> WordFromText(Field field, const std::string& text, const Name& origin,
                                         std::string& why) {
   if (IsName(field)) {
@@ -398,7 +400,7 @@
   return NumberFromText(field, text, why);
 }
 
-// The field that the tokens start with; takes as many as it needs.
+// Parses the field at the start of the tokens and removes its tokens.
 std::optional<std::string> FieldFromText(Field field, std::span<const Token>& tokens,
                                          const Name& origin, std::string& why,
                                          std::size_t& at_token) {
@@ -418,10 +420,11 @@
   return value;
 }
 
-// `\# LENGTH HEX...` (RFC 3597 §5), which any type may be given as.
+// Parses `\# LENGTH HEX...` (RFC 3597 §5), a form that is valid for every type.
 std::optional<std::string> UnknownFromText(std::span<const Token> tokens, std::string& why,
                                            std::size_t& at_token) {
-  const auto length = tokens.size() > 1 ? WholeNumber<std::uint16_t>(tokens[1].text) : std::nullopt;
+  const auto length =
+      tokens.size() > 1 ? ParseUnsigned<std::uint16_t>(tokens[1].text) : std::nullopt;
   at_token = std::min<std::size_t>(1, tokens.size());
   if (!length) {
     why = "expected \\# and the number of bytes that follow in hexadecimal";
@@ -454,7 +457,7 @@
     if (SameIgnoringCase(text, mnemonic)) return type;
   }
   if (!SameIgnoringCase(text.substr(0, 4), "TYPE")) return std::nullopt;
-  return WholeNumber<std::uint16_t>(text.substr(4));
+  return ParseUnsigned<std::uint16_t>(text.substr(4));
 }
 
 std::string TypeText(std::uint16_t type) {
@@ -474,7 +477,7 @@
     if (SameIgnoringCase(text, mnemonic)) return value;
   }
   if (!SameIgnoringCase(text.substr(0, 5), "CLASS")) return std::nullopt;
-  return WholeNumber<std::uint16_t>(text.substr(5));
+  return ParseUnsigned<std::uint16_t>(text.substr(5));
 }
 
 std::string ClassText(std::uint16_t klass) {
@@ -522,7 +525,7 @@
     return std::nullopt;
   }
   if (info == nullptr) {
-    why = TypeText(type) + " has no form of its own here: write its RDATA as \\# LENGTH HEX";
+    why = TypeText(type) + " has no text format of its own here: write its RDATA as \\# LENGTH HEX";
     return std::nullopt;
   }
   std::string rdata;
--- a/src/dns/tsig.cpp
+++ b/src/dns/tsig.cpp
@@ -13,14 +13,14 @@
   return signing::Hmac(key.algorithm, key.secret, bytes);
 }
 
-Name AlgorithmName(Algorithm algorithm) { return Name::Known(AlgorithmText(algorithm)); }
+Name AlgorithmName(Algorithm algorithm) { return Name::FromLiteral(AlgorithmText(algorithm)); }
 
 void Put48(std::string& out, std::uint64_t value) {
   Put16(out, static_cast<std::uint32_t>(value >> 32) & 0xffff);
   Put32(out, static_cast<std::uint32_t>(value));
 }
 
-// RFC 8945 §4.2.
+// RDATA fields of a TSIG (RFC 8945 §4.2).
 struct Fields {
   Name algorithm;
   std::uint64_t time = 0;
@@ -67,7 +67,7 @@
   message[11] = static_cast<char>(count);
 }
 
-std::string Appended(std::string message, const Name& key, const Fields& fields) {
+std::string WithTsig(std::string message, const Name& key, const Fields& fields) {
   AddToCount(message, 1);
   message += key.wire();
   Put16(message, type::kTsig);
@@ -84,12 +84,13 @@
   return out.append(mac);
 }
 
-// What the MAC is over (RFC 8945 §4.3): a third and later message has the times alone (§5.3.1).
-std::string Signed(std::string_view prior, std::string_view message, const Name& key,
-                   const Fields& fields, bool times_alone) {
+// Returns the input of the MAC (RFC 8945 §4.3). From the third message of an exchange on, it
+// includes only the timers of the TSIG (§5.3.1).
+std::string MacInput(std::string_view prior, std::string_view message, const Name& key,
+                     const Fields& fields, bool timers_only) {
   std::string out(prior);
   out += message;
-  if (!times_alone) {
+  if (!timers_only) {
     out += key.Lower().wire();
     Put16(out, klass::kAny);
     Put32(out, 0);
@@ -97,7 +98,7 @@
   }
   Put48(out, fields.time);
   Put16(out, fields.fudge);
-  if (!times_alone) {
+  if (!timers_only) {
     Put16(out, static_cast<std::uint32_t>(fields.error));
     Put16(out, static_cast<std::uint32_t>(fields.other.size()));
     out += fields.other;
@@ -129,19 +130,21 @@
   fields.original_id = static_cast<std::uint16_t>(Get16(message, 0));
   fields.error = error;
   fields.other = other;
-  fields.mac = Hmac(key_, Signed(prior_mac_ + between_, message, key_.name, fields, checked_ >= 2));
+  fields.mac = Hmac(
+      key_, MacInput(prior_mac_ + unsigned_messages_, message, key_.name, fields, checked_ >= 2));
   prior_mac_ = WithLength(fields.mac);
-  between_.clear();
+  unsigned_messages_.clear();
   ++checked_;
-  return Appended(std::move(message), key_.name, fields);
+  return WithTsig(std::move(message), key_.name, fields);
 }
 
 std::string TsigSession::Sign(std::string message, std::uint64_t now) {
   return Append(std::move(message), now, TsigError::kNone, {});
 }
 
-std::size_t TsigSession::MostBytes() const {
-  constexpr std::size_t kFixed = 10 + 16 + 6;  // the record's, RDATA's, and a time in it
+std::size_t TsigSession::MaxTsigBytes() const {
+  constexpr std::size_t kFixed =
+      10 + 16 + 6;  // fixed fields of the record and of its RDATA, and a time in it
   return key_.name.wire().size() + AlgorithmName(key_.algorithm).wire().size() + kFixed +
          signing::MacBytes(key_.algorithm);
 }
@@ -155,9 +158,9 @@
 
 TsigError TsigSession::Check(std::string_view bytes, const Message& message, std::uint64_t now) {
   if (!message.tsig) {
-    // The request and the first answer are signed (RFC 8945 §5.3.1).
+    // The request and the first message of the answer must be signed (RFC 8945 §5.3.1).
     if (checked_ < 2 || ++unsigned_ > kMaxUnsigned) return TsigError::kBadSig;
-    PassUnsigned(bytes);
+    AddUnsigned(bytes);
     return TsigError::kNone;
   }
   const auto fields = FieldsOf(message.tsig->rdata);
@@ -173,11 +176,11 @@
   AddToCount(plain, -1);
   plain[0] = static_cast<char>(fields->original_id >> 8);
   plain[1] = static_cast<char>(fields->original_id);
-  const std::string mac =
-      Hmac(key_, Signed(prior_mac_ + between_, plain, key_.name, *fields, checked_ >= 2));
+  const std::string mac = Hmac(
+      key_, MacInput(prior_mac_ + unsigned_messages_, plain, key_.name, *fields, checked_ >= 2));
   if (!signing::IsSame(mac, fields->mac)) return TsigError::kBadSig;
   prior_mac_ = WithLength(mac);
-  between_.clear();
+  unsigned_messages_.clear();
   ++checked_;
   unsigned_ = 0;
   signed_at_ = fields->time;
@@ -208,10 +211,10 @@
   }
   fields.original_id = request.id;
   fields.error = error;
-  return Appended(std::move(message), request.tsig->name, fields);
+  return WithTsig(std::move(message), request.tsig->name, fields);
 }
 
-TsigError ErrorIn(const Message& message) {
+TsigError TsigErrorOf(const Message& message) {
   const auto fields = message.tsig ? FieldsOf(message.tsig->rdata) : std::nullopt;
   return fields ? fields->error : TsigError::kNone;
 }
--- a/src/dns/zone.cpp
+++ b/src/dns/zone.cpp
@@ -7,25 +7,25 @@
 namespace brassfront::dns {
 namespace {
 
-constexpr int kMaxCnames = 16;  // followed for one answer; the rest is for the asker
+constexpr int kMaxCnames = 16;  // followed for one answer; the client resolves the rest
 
 Record RecordOf(const Name& name, std::uint16_t type, std::uint32_t ttl, std::string rdata) {
   return {name, type, klass::kIn, ttl, std::move(rdata)};
 }
 
-// Sets are kept in the order of their records' canonical form (RFC 4034 §6.3), so that one of many
-// is found without a look at all.
+// The records of an RRset are stored in canonical order (RFC 4034 §6.3), so that a binary search
+// finds a record.
 bool ComesBefore(std::uint16_t type, std::string_view a, std::string_view b) {
   if (!HasNames(type)) return a < b;
   return CanonicalRdata(type, a) < CanonicalRdata(type, b);
 }
 
-struct Place {
+struct RdataPosition {
   std::vector<std::string>::const_iterator at;
-  bool held = false;  // what is there is the same record
+  bool found = false;  // the record at the position equals the one searched for
 };
 
-Place FindRdata(const RecordSet& set, std::uint16_t type, std::string_view rdata) {
+RdataPosition FindRdata(const RecordSet& set, std::uint16_t type, std::string_view rdata) {
   const auto before = [type](std::string_view a, std::string_view b) {
     return ComesBefore(type, a, b);
   };
@@ -33,7 +33,7 @@
   return {at, at != set.rdatas.end() && !before(rdata, *at)};
 }
 
-// The field in which records of the type name a host that has addresses.
+// Returns the number of the field in which records of the type name a host.
 std::optional<std::size_t> TargetField(std::uint16_t type) {
   switch (type) {
     case type::kNs:
@@ -75,7 +75,7 @@
 
 bool Zone::Holds(const Record& record) const {
   const RecordSet* set = Find(record.name, record.type);
-  return set != nullptr && FindRdata(*set, record.type, record.rdata).held;
+  return set != nullptr && FindRdata(*set, record.type, record.rdata).found;
 }
 
 bool Zone::Exists(const Name& name) const {
@@ -90,9 +90,9 @@
   if (node == nodes_.end()) node = nodes_.emplace(std::move(key), Node{record.name, {}}).first;
   RecordSet& set = node->second.sets[record.type];
   const bool same_ttl = std::exchange(set.ttl, record.ttl) == record.ttl;
-  const Place place = FindRdata(set, record.type, record.rdata);
-  if (place.held) return !same_ttl;
-  set.rdatas.insert(place.at, record.rdata);
+  const RdataPosition position = FindRdata(set, record.type, record.rdata);
+  if (position.found) return !same_ttl;
+  set.rdatas.insert(position.at, record.rdata);
   ++records_;
   return true;
 }
@@ -102,9 +102,9 @@
   if (node == nodes_.end()) return false;
   const auto set = node->second.sets.find(record.type);
   if (set == node->second.sets.end()) return false;
-  const Place place = FindRdata(set->second, record.type, record.rdata);
-  if (!place.held) return false;
-  set->second.rdatas.erase(place.at);
+  const RdataPosition position = FindRdata(set->second, record.type, record.rdata);
+  if (!position.found) return false;
+  set->second.rdatas.erase(position.at);
   --records_;
   if (set->second.rdatas.empty()) node->second.sets.erase(set);
   if (node->second.sets.empty()) nodes_.erase(node);
@@ -128,17 +128,17 @@
   return records;
 }
 
-const Node* Zone::CutAbove(const Name& name) const {
+const Node* Zone::DelegationAbove(const Name& name) const {
   const Node* cut = nullptr;
   for (Name at = name; !(at == origin_) && !at.IsRoot(); at = at.Parent()) {
     const Node* node = Find(at);
-    if (node != nullptr && node->sets.contains(type::kNs)) cut = node;  // the topmost one counts
+    if (node != nullptr && node->sets.contains(type::kNs)) cut = node;  // the topmost one applies
   }
   return cut;
 }
 
 const Node* Zone::WildcardFor(const Name& name) const {
-  // RFC 4592 §3.3.1: the one below the closest name that exists.
+  // RFC 4592 §3.3.1: the wildcard directly below the closest existing name.
   Name at = name;
   do {
     at = at.Parent();
@@ -171,17 +171,18 @@
 }
 
 void Zone::AddNegative(Lookup& lookup) const {
-  Record soa = Soa();  // for as long as the lesser of both times (RFC 2308 §3)
+  Record soa = Soa();  // its TTL is the smaller of the SOA's TTL and MINIMUM (RFC 2308 §3)
   soa.ttl = std::min(soa.ttl, NumberField(type::kSoa, soa.rdata, soa::kMinimum));
   lookup.authority.push_back(std::move(soa));
 }
 
-Lookup Zone::Ask(const Name& name, std::uint16_t type) const {
+Lookup Zone::Query(const Name& name, std::uint16_t type) const {
   Lookup lookup;
   Name at = name;
   for (int hop = 0; hop <= kMaxCnames; ++hop) {
-    if (!at.IsAtOrBelow(origin_)) break;  // a CNAME led out: the asker goes on elsewhere
-    if (const Node* cut = CutAbove(at)) {
+    if (!at.IsAtOrBelow(origin_))
+      break;  // a CNAME leads out of the zone; the client resolves the rest
+    if (const Node* cut = DelegationAbove(at)) {
       lookup.authoritative = !lookup.answer.empty();
       AddSet(cut->name, *cut, type::kNs, lookup.authority);
       AddAddresses(lookup.authority, lookup.additional);
@@ -202,8 +203,8 @@
       continue;
     }
     const std::size_t before = lookup.answer.size();
-    for (const auto& [held, set] : node->sets) {
-      if (type == held || type == type::kAny) AddSet(at, *node, held, lookup.answer);
+    for (const auto& [found, set] : node->sets) {
+      if (type == found || type == type::kAny) AddSet(at, *node, found, lookup.answer);
     }
     if (lookup.answer.size() == before) AddNegative(lookup);
     break;
@@ -212,7 +213,7 @@
   return lookup;
 }
 
-bool Zone::Fits(const Change& change) const {
+bool Zone::CanApply(const Change& change) const {
   return !change.removed.empty() && !change.added.empty() && change.removed[0].type == type::kSoa &&
          change.added[0].type == type::kSoa && change.from() == serial() &&
          std::all_of(change.removed.begin(), change.removed.end(),
@@ -220,12 +221,12 @@
 }
 
 bool Zone::Apply(const Change& change) {
-  if (!Fits(change)) return false;
-  ApplyFitting(change);
+  if (!CanApply(change)) return false;
+  ApplyUnchecked(change);
   return true;
 }
 
-void Zone::ApplyFitting(const Change& change) {
+void Zone::ApplyUnchecked(const Change& change) {
   for (const Record& record : change.removed) Remove(record);
   for (const Record& record : change.added) Add(record);
   changes_.push_back(change);
@@ -240,7 +241,7 @@
   }
 }
 
-std::optional<std::vector<const Change*>> Zone::Since(std::uint32_t wanted) const {
+std::optional<std::vector<const Change*>> Zone::ChangesSince(std::uint32_t wanted) const {
   std::vector<const Change*> changes;
   if (wanted == serial()) return changes;
   for (const Change& change : changes_) {
--- a/src/dns/zone_file.cpp
+++ b/src/dns/zone_file.cpp
@@ -12,10 +12,10 @@
 
 namespace peg = tao::pegtl;
 
-constexpr std::size_t kMaxIncludes = 16;            // one inside the other
-constexpr std::uint64_t kMaxGenerated = 1'000'000;  // by one $GENERATE
+constexpr std::size_t kMaxIncludeDepth = 16;               // nesting depth
+constexpr std::uint64_t kMaxGeneratedRecords = 1'000'000;  // records from one $GENERATE
 
-// ======== the grammar: lines of tokens ========
+// ======== grammar: lines of tokens ========
 
 struct Escaped : peg::seq<peg::one<'\\'>, peg::not_one<'\n', '\r'>> {};
 struct QuotedByte : peg::sor<Escaped, peg::not_one<'"', '\\', '\n', '\r'>> {};
@@ -25,7 +25,7 @@
 struct Quoted : peg::seq<InQuotes> {};
 struct PlainByte
     : peg::sor<Escaped, peg::not_one<' ', '\t', '\n', '\r', ';', '(', ')', '"', '\\'>> {};
-// A service parameter may have its value in quotes: key="a value".
+// A service parameter whose value is in quotes: key="a value".
 struct WithQuotedValue : peg::seq<peg::plus<peg::seq<peg::not_at<peg::one<'='>>, PlainByte>>,
                                   peg::one<'='>, InQuotes> {};
 struct Bare : peg::sor<WithQuotedValue, peg::plus<PlainByte>> {};
@@ -100,21 +100,21 @@
   const auto dash = text.find('-');
   if (dash == std::string_view::npos) return std::nullopt;
   const auto slash = text.find('/');
-  const auto from = WholeNumber<std::uint32_t>(text.substr(0, dash));
-  const auto to = WholeNumber<std::uint32_t>(text.substr(
+  const auto from = ParseUnsigned<std::uint32_t>(text.substr(0, dash));
+  const auto to = ParseUnsigned<std::uint32_t>(text.substr(
       dash + 1, slash == std::string_view::npos ? std::string_view::npos : slash - dash - 1));
   const auto step =
-      slash == std::string_view::npos ? 1 : WholeNumber<std::uint32_t>(text.substr(slash + 1));
+      slash == std::string_view::npos ? 1 : ParseUnsigned<std::uint32_t>(text.substr(slash + 1));
   if (!from || !to || !step || *to < *from || *step == 0) return std::nullopt;
   return Range{*from, *to, *step};
 }
 
 std::string InBase(std::uint64_t value, char base, std::size_t width) {
   std::string out;
-  // By a pointer: GCC 12 with the undefined-behaviour sanitizer takes the first digit of
-  // (c ? "..." : "...")[n] whatever n is.
+  // Uses a pointer, since GCC 12 with the undefined-behaviour sanitizer evaluates
+  // (c ? "..." : "...")[n] to the first digit for every n.
   const char* const digits = base == 'N' || base == 'X' ? "0123456789ABCDEF" : "0123456789abcdef";
-  if (base == 'n' || base == 'N') {  // nibbles from the lowest, with dots between
+  if (base == 'n' || base == 'N') {  // nibbles separated by dots, lowest first
     while (out.size() < width || value > 0 || out.empty()) {
       if (!out.empty()) out += '.';
       out += digits[value % 16];
@@ -132,7 +132,7 @@
   return out;
 }
 
-// How $GENERATE writes its number: `${offset,width,base}`.
+// Format of the number in a $GENERATE: `${offset,width,base}`.
 struct GenerateFormat {
   std::int64_t offset = 0;
   std::size_t width = 0;
@@ -151,7 +151,7 @@
   }
 }
 
-// What stands between the braces; nothing if it is not well-formed.
+// Parses the text between the braces; returns nullopt if it is malformed.
 std::optional<GenerateFormat> ParseGenerateFormat(std::string_view inside) {
   const auto parts = SplitAtCommas(inside);
   GenerateFormat format;
@@ -159,7 +159,7 @@
   const auto [stop, error] = std::from_chars(parts[0].data(), end, format.offset);
   if (error != std::errc() || stop != end || parts.size() > 3) return std::nullopt;
   if (parts.size() > 1) {
-    const auto width = WholeNumber<std::uint32_t>(parts[1]);
+    const auto width = ParseUnsigned<std::uint32_t>(parts[1]);
     if (!width || *width > kMaxGenerateWidth) return std::nullopt;
     format.width = *width;
   }
@@ -173,8 +173,9 @@
   return format;
 }
 
-// The pattern with `$` and `${offset,width,base}` replaced by the number; `\$` stays a dollar.
-std::optional<std::string> Generated(std::string_view pattern, std::uint32_t number) {
+// Returns the pattern with `$` and `${offset,width,base}` replaced by the number; `\$` becomes a
+// dollar sign. Returns nullopt if the pattern is malformed.
+std::optional<std::string> ExpandGenerate(std::string_view pattern, std::uint32_t number) {
   std::string out;
   for (std::size_t at = 0; at < pattern.size(); ++at) {
     if (pattern[at] == '\\' && at + 1 < pattern.size()) {
@@ -205,9 +206,13 @@
 
 class Reader {
  public:
-  Reader(const Name& zone, const Including& including, const std::function<void(Record)>& take,
-         std::vector<ZoneFileError>& faults)
-      : zone_(zone), origin_(zone), including_(including), take_(take), faults_(faults) {}
+  Reader(const Name& zone, const IncludeResolver& resolve_include,
+         const std::function<void(Record)>& take, std::vector<ZoneFileError>& faults)
+      : zone_(zone),
+        origin_(zone),
+        resolve_include_(resolve_include),
+        take_(take),
+        faults_(faults) {}
 
   void Read(const ZoneText& text) {
     const ZoneText* outer = std::exchange(text_, &text);
@@ -230,7 +235,7 @@
     if (ended.tokens.empty()) return;
     const Token& first = ended.tokens[0];
     if (!ended.indented && !first.quoted && first.text.starts_with('$')) {
-      Direct(ended.tokens);
+      HandleDirective(ended.tokens);
     } else {
       const std::span<const Token> tokens(ended.tokens);
       TakeEntry(ended.indented ? std::nullopt : std::optional(first.text),
@@ -238,7 +243,7 @@
     }
   }
 
-  Entry entry;  // the line that is being read
+  Entry entry;  // the current line
 
  private:
   void AddFault(std::size_t line, std::size_t column, std::string why) {
@@ -247,7 +252,7 @@
   }
   void AddFault(const Token& at, std::string why) { AddFault(at.line, at.column, std::move(why)); }
 
-  void Direct(const std::vector<Token>& tokens) {
+  void HandleDirective(const std::vector<Token>& tokens) {
     const std::string& directive = tokens[0].text;
     const auto arguments = tokens.size() - 1;
     std::string why;
@@ -278,7 +283,7 @@
   void Include(const std::vector<Token>& tokens) {
     std::string why;
     const auto named = Unescape(tokens[1].text);
-    const auto text = named ? including_(*text_, *named, why) : std::nullopt;
+    const auto text = named ? resolve_include_(*text_, *named, why) : std::nullopt;
     if (!text) {
       AddFault(tokens[1], named ? why : "an escape in the file's name is not \\DDD");
       return;
@@ -287,7 +292,7 @@
       AddFault(tokens[1], text->file + " includes itself");
       return;
     }
-    if (files_.size() >= kMaxIncludes) {
+    if (files_.size() >= kMaxIncludeDepth) {
       AddFault(tokens[1], "more than 16 files, one inside the other");
       return;
     }
@@ -313,7 +318,7 @@
       return;
     }
     const std::uint64_t steps = (std::uint64_t{range->to} - range->from) / range->step + 1;
-    if (steps > kMaxGenerated) {
+    if (steps > kMaxGeneratedRecords) {
       AddFault(tokens[1], "more than a million records from one $GENERATE");
       return;
     }
@@ -322,7 +327,7 @@
       const auto number = static_cast<std::uint32_t>(range->from + n * range->step);
       std::vector<Token> made(tokens.begin() + 2, tokens.end());
       for (Token& token : made) {
-        const auto text = Generated(token.text, number);
+        const auto text = ExpandGenerate(token.text, number);
         if (!text) {
           AddFault(token, "expected $ or ${offset,width,base}");
           return;
@@ -333,13 +338,13 @@
     }
   }
 
-  // What stands before the data of a record.
+  // The fields between the owner and the RDATA of a record.
   struct EntryHeader {
     std::optional<std::uint32_t> ttl;
     std::uint16_t type = 0;
   };
 
-  // An owner that is not given is the last one. False after a fault.
+  // Sets the owner of the record; without one the last owner applies. Returns false after a fault.
   bool TakeOwner(const std::optional<std::string>& owner, const Token& at) {
     if (!owner) {
       if (!owner_) AddFault(at, "a record without a name, and none before it");
@@ -351,7 +356,8 @@
     return owner_.has_value();
   }
 
-  // TTL and class in either order, then the type; takes the tokens. Nothing after a fault.
+  // Parses TTL and class in either order and then the type, and removes their tokens. Returns
+  // nullopt after a fault.
   std::optional<EntryHeader> TakeEntryHeader(std::span<const Token>& tokens, const Token& at) {
     std::optional<std::uint32_t> ttl;
     std::optional<std::uint16_t> klass;
@@ -418,11 +424,11 @@
 
   const Name zone_;
   Name origin_;
-  const Including& including_;
+  const IncludeResolver& resolve_include_;
   const std::function<void(Record)>& take_;
   std::vector<ZoneFileError>& faults_;
   const ZoneText* text_ = nullptr;
-  std::vector<std::string> files_;  // that are open, by identity
+  std::vector<std::string> files_;  // identities of the files being read, for loop detection
   std::optional<Name> owner_;
   std::optional<std::uint32_t> default_ttl_;
   std::optional<std::uint32_t> last_ttl_;
@@ -440,7 +446,7 @@
   static void apply0(Reader& reader) { reader.EndEntry(); }
 };
 
-std::string Joined(const std::vector<ZoneFileError>& faults) {
+std::string JoinErrors(const std::vector<ZoneFileError>& faults) {
   std::string out;
   for (const ZoneFileError& fault : faults) out += (out.empty() ? "" : "\n") + fault.ToText();
   return out;
@@ -454,20 +460,20 @@
 }
 
 InvalidZone::InvalidZone(std::vector<ZoneFileError> faults)
-    : std::runtime_error(Joined(faults)), faults_(std::move(faults)) {}
+    : std::runtime_error(JoinErrors(faults)), faults_(std::move(faults)) {}
 
-void ReadRecords(const ZoneText& text, const Name& origin, const Including& including,
+void ReadRecords(const ZoneText& text, const Name& origin, const IncludeResolver& resolve_include,
                  const std::function<void(Record)>& take) {
   std::vector<ZoneFileError> faults;
-  Reader reader(origin, including, take, faults);
+  Reader reader(origin, resolve_include, take, faults);
   reader.Read(text);
   if (!faults.empty()) throw InvalidZone(std::move(faults));
 }
 
-Zone ReadZone(const ZoneText& text, const Name& origin, const Including& including) {
+Zone ReadZone(const ZoneText& text, const Name& origin, const IncludeResolver& resolve_include) {
   Zone zone(origin);
-  ReadRecords(text, origin, including, [&zone](Record record) {
-    // A set has one TTL: the smallest of those given (RFC 2181 §5.2).
+  ReadRecords(text, origin, resolve_include, [&zone](Record record) {
+    // All records of an RRset have one TTL: the smallest of those given (RFC 2181 §5.2).
     if (const RecordSet* set = zone.Find(record.name, record.type)) {
       record.ttl = std::min(record.ttl, set->ttl);
     }
--- a/src/nameserver/host.hpp
+++ b/src/nameserver/host.hpp
@@ -1,5 +1,5 @@
-// All that a name server is made of: its zones from files, folders and primaries, the server, and
-// faults by order. The program's stand-in runs one, and so does a forwarder that takes endpoints
+// A complete name server: its zones from files, folders and primaries, the server, and injected
+// faults. `zone serve` and rehearsals run one, and so does a forwarder that reads its endpoints
 // from zones.
 #ifndef BRASSFRONT_NAMESERVER_HOST_HPP_
 #define BRASSFRONT_NAMESERVER_HOST_HPP_
@@ -25,8 +25,8 @@
 
 class Host {
  public:
-  // Reads what there is and serves from now on. A zone whose file is bad is not answered until the
-  // file is good; a folder that cannot be used ends the start. Throws std::runtime_error.
+  // Loads the zones and starts to serve. A zone whose file is invalid is not answered until the
+  // file is valid. Throws std::runtime_error if a folder cannot be used.
   Host(HostSettings settings, ZoneWatcher watcher);
   ~Host();
 
@@ -35,32 +35,32 @@
   void SetFaults(const Faults& faults) { server_->SetFaults(faults); }
 
  private:
-  struct Hosted {
+  struct HostedZone {
     ZoneSettings settings;
     std::unique_ptr<StoredZone> stored;
     std::unique_ptr<FileZone> from_file;
-    std::unique_ptr<FollowedZone> followed;
-    ZoneManager* manager = nullptr;  // of the three, the one that it is
-    std::unique_ptr<SecondaryZone> following;
-    // Of the file: as it was when it was read, and as it was at the last look.
-    std::optional<zones::FileStamp> read, seen;
-    bool good = false;    // what it said then was taken up
-    double kept_age = 0;  // of a followed zone's copy in its folder, in seconds
+    std::unique_ptr<SecondaryZoneCopy> secondary_copy;
+    ZoneManager* manager = nullptr;  // points to the one of these three that is set
+    std::unique_ptr<SecondaryZone> secondary;
+    // Stamps of the file: when it was last read, and when it was last checked.
+    std::optional<zones::FileStamp> loaded_stamp, seen_stamp;
+    bool good = false;    // the file was valid when it was last read, and its data was applied
+    double copy_age = 0;  // seconds since the stored copy of a secondary zone was last confirmed
   };
 
-  void Open(Hosted& hosted);
-  void TakeFile(Hosted& hosted);
-  std::string TakeZone(Hosted& hosted, const dns::Zone& zone);
-  void LookAtFiles();
-  void Work();
+  void Open(HostedZone& hosted);
+  void LoadFile(HostedZone& hosted);
+  std::string ApplyFileZone(HostedZone& hosted, const dns::Zone& zone);
+  void CheckFiles();
+  void Run();
 
   const HostSettings settings_;
   const ZoneWatcher watcher_;
   std::mutex zones_mutex_;  // guards the zones and the responder
   Responder responder_;
-  std::vector<Hosted> hosted_;
+  std::vector<HostedZone> hosted_;
   std::unique_ptr<Server> server_;
-  std::mutex mutex_;  // for the end
+  std::mutex mutex_;  // guards stopping_
   std::condition_variable end_;
   bool stopping_ = false;
   Thread thread_;
--- a/src/nameserver/secondary_zone.hpp
+++ b/src/nameserver/secondary_zone.hpp
@@ -1,5 +1,5 @@
-// Follows a primary with one thread: asks, transfers, and applies what came
-// (dns::ZoneTransferSession decides when and what).
+// Keeps a secondary zone up to date with one thread: queries the serial of the primary, requests
+// transfers and applies them (dns::ZoneTransferSession decides what to do and when).
 #ifndef BRASSFRONT_NAMESERVER_SECONDARY_ZONE_HPP_
 #define BRASSFRONT_NAMESERVER_SECONDARY_ZONE_HPP_
 
@@ -17,52 +17,55 @@
 
 namespace brassfront::nameserver {
 
-// What became of a zone. Called with the zones' mutex held.
+// Callbacks for the events of a zone. They are called with the zones' mutex locked.
 struct ZoneWatcher {
-  // What is there at the start: of a followed zone, its copy in the folder.
-  std::function<void(const dns::Zone& zone)> kept;
-  // `change` leads from what was there to the zone; null where all of it is new.
+  // The zone as loaded at the start; for a secondary zone, the copy in its folder.
+  std::function<void(const dns::Zone& zone)> loaded;
+  // `change` is the difference from the previous data; null if there was none.
   std::function<void(const dns::Zone& zone, const dns::Change* change)> changed;
-  std::function<void(const dns::Zone& zone)> confirmed;  // nothing new, by its source's word
+  std::function<void(const dns::Zone& zone)> confirmed;  // its source confirms that nothing changed
   std::function<void(const dns::Zone& zone, const std::string& why)> failed;
   std::function<void(const dns::Zone& zone)> expired;
 };
 
 class SecondaryZone {
  public:
-  // `mutex` guards the zone. `age` is how long ago, in seconds, what the zone holds was confirmed.
-  SecondaryZone(FollowedZone& zone, std::mutex& mutex, Ask how, double age, ZoneWatcher watcher);
+  // `mutex` guards the zone. `age` is the time in seconds since the data of the zone was last
+  // confirmed.
+  SecondaryZone(SecondaryZoneCopy& zone, std::mutex& mutex, RequestOptions options, double age,
+                ZoneWatcher watcher);
   ~SecondaryZone();
 
-  // From a notice; never waits for the thread.
-  void Notified(std::optional<std::uint32_t> serial);
+  // Processes a NOTIFY; never waits for the thread.
+  void OnNotify(std::optional<std::uint32_t> serial);
 
  private:
-  void Follow();
-  void AskSerial();
-  void TransferNow(bool by_changes);
+  void Run();
+  void QuerySerial();
+  void TransferNow(bool incremental);
 
   struct AppliedChanges {
     std::size_t count = 0;
-    bool all_fit = true;
+    bool all_applied = true;
   };
 
-  // With the zones' mutex held; `why` tells what did not fit.
-  bool TakeWholeZone(const dns::Zone& fetched, std::string& why);
-  AppliedChanges TakeChanges(const std::vector<dns::Change>& changes, std::string& why);
-  void NoteTransferred(bool changed);
+  // Called with the zones' mutex locked. On failure `why` is the reason.
+  bool ApplyFullZone(const dns::Zone& fetched, std::string& why);
+  AppliedChanges ApplyChanges(const std::vector<dns::Change>& changes, std::string& why);
+  void RecordTransfer(bool changed);
 
-  void TellFailed(const std::string& why);  // with the zones' mutex held
+  void ReportFailure(const std::string& why);  // with the zones' mutex locked
   void Fail(const std::string& why);
 
-  FollowedZone& zone_;
+  SecondaryZoneCopy& zone_;
   std::mutex& zones_mutex_;
-  const Ask how_;
+  const RequestOptions options_;
   const ZoneWatcher watcher_;
-  std::mutex mutex_;  // guards what follows; taken after the zones' mutex, if both are
+  std::mutex
+      mutex_;  // guards the members below; if both are locked, the zones' mutex is locked first
   std::condition_variable wake_;
   dns::ZoneTransferSession session_;
-  bool poked_ = false;
+  bool wake_requested_ = false;
   bool stopping_ = false;
   Thread thread_;
 };
--- a/src/nameserver/zone_managers.hpp
+++ b/src/nameserver/zone_managers.hpp
@@ -1,4 +1,4 @@
-// Where zones are kept: on disk, in memory, or as a copy of a primary's.
+// Storage of zones: on disk, in memory, or as a copy of a primary's zone.
 #ifndef BRASSFRONT_NAMESERVER_ZONE_MANAGERS_HPP_
 #define BRASSFRONT_NAMESERVER_ZONE_MANAGERS_HPP_
 
@@ -11,7 +11,7 @@
 
 namespace brassfront::nameserver {
 
-// A primary's zone in a folder; what it confirms outlives the process.
+// A primary zone that is stored in a folder; committed changes survive the process.
 class StoredZone : public ZoneManager {
  public:
   StoredZone(std::string folder, const dns::Name& origin, zones::ZoneStore::Options options)
@@ -20,28 +20,29 @@
   zones::ZoneStore& store() { return store_; }
   [[nodiscard]] const dns::Zone& zone() const override { return store_.zone(); }
   [[nodiscard]] bool answers() const override { return store_.zone().has_soa(); }
-  bool Commit(const dns::Change& change, const dns::Witness* by, std::string& why) override {
-    if (store_.Commit(change, by)) return true;
+  bool Commit(const dns::Change& change, const dns::UpdateSignature* signature,
+              std::string& why) override {
+    if (store_.Commit(change, signature)) return true;
     why = store_.why();
     return false;
   }
 
-  [[nodiscard]] std::vector<dns::Witness> witnesses() const override {
-    return {store_.witnesses().begin(), store_.witnesses().end()};
+  [[nodiscard]] std::vector<dns::UpdateSignature> signatures() const override {
+    return {store_.signatures().begin(), store_.signatures().end()};
   }
 
  private:
   zones::ZoneStore store_;
 };
 
-// A zone in memory: its changes end with the process.
+// A zone in memory; its changes are lost when the process ends.
 class MemoryZone : public ZoneManager {
  public:
   explicit MemoryZone(dns::Zone zone) : zone_(std::move(zone)) {}
 
   [[nodiscard]] const dns::Zone& zone() const override { return zone_; }
   [[nodiscard]] bool answers() const override { return zone_.has_soa(); }
-  bool Commit(const dns::Change& change, const dns::Witness*, std::string& why) override {
+  bool Commit(const dns::Change& change, const dns::UpdateSignature*, std::string& why) override {
     if (zone_.Apply(change)) return true;
     why = "the change does not start from what the zone holds";
     return false;
@@ -51,7 +52,7 @@
   dns::Zone zone_;
 };
 
-// A zone that is read from a file again and again, and changed by nothing else.
+// A zone that changes only when its file is read again.
 class FileZone : public MemoryZone {
  public:
   using MemoryZone::MemoryZone;
@@ -59,19 +60,19 @@
   void Start(dns::Zone zone) { zone_ = std::move(zone); }
 };
 
-// A copy of a primary's zone. Who follows it writes to it, and says when it counts no more.
-class FollowedZone : public ZoneManager {
+// A copy of a primary's zone. SecondaryZone writes to it and marks it as expired.
+class SecondaryZoneCopy : public ZoneManager {
  public:
-  // With a folder the copy outlives the process. Throws zones::StoreError.
-  FollowedZone(const dns::Name& origin, const std::string& folder) : zone_(origin) {
+  // If a folder is given, the copy survives the process. Throws zones::StoreError.
+  SecondaryZoneCopy(const dns::Name& origin, const std::string& folder) : zone_(origin) {
     if (!folder.empty()) store_.emplace(folder, origin, zones::ZoneStore::Options{});
   }
-  explicit FollowedZone(const dns::Name& origin) : FollowedZone(origin, "") {}
+  explicit SecondaryZoneCopy(const dns::Name& origin) : SecondaryZoneCopy(origin, "") {}
 
   [[nodiscard]] const dns::Zone& zone() const override { return store_ ? store_->zone() : zone_; }
   [[nodiscard]] bool answers() const override { return zone().has_soa() && !expired_; }
   [[nodiscard]] bool takes_updates() const override { return false; }
-  bool Commit(const dns::Change& change, const dns::Witness*, std::string& why) override {
+  bool Commit(const dns::Change& change, const dns::UpdateSignature*, std::string& why) override {
     if (store_ ? store_->Commit(change) : zone_.Apply(change)) return true;
     why = store_ ? store_->why() : "the change does not start from what the zone holds";
     return false;
