--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -82,8 +82,9 @@
   const Value::Array& own_limits = ArrayOrEmpty(family, "own-limits");
   const std::size_t count = std::max({named_kinds, max_batches.size(), own_limits.size()});
   std::vector<dispatch_policy::KindSettings> kinds(count);
-  for (std::size_t i = 0; i < max_batches.size(); ++i)
+  for (std::size_t i = 0; i < max_batches.size(); ++i) {
     kinds[i].max_batch = max_batches[i].UnsignedInteger();
+  }
   for (std::size_t i = 0; i < own_limits.size(); ++i) {
     kinds[i].per_endpoint_limits = own_limits[i].Boolean();
   }
--- a/src/dns/zone.cpp
+++ b/src/dns/zone.cpp
@@ -180,8 +180,9 @@
   Lookup lookup;
   Name at = name;
   for (int hop = 0; hop <= kMaxCnames; ++hop) {
-    if (!at.IsAtOrBelow(origin_))
+    if (!at.IsAtOrBelow(origin_)) {
       break;  // a CNAME leads out of the zone; the client resolves the rest
+    }
     if (const Node* cut = DelegationAbove(at)) {
       lookup.authoritative = !lookup.answer.empty();
       AddSet(cut->name, *cut, type::kNs, lookup.authority);
--- a/src/nameserver/client.cpp
+++ b/src/nameserver/client.cpp
@@ -54,8 +54,9 @@
 RequestResult ByDatagram(const RequestOptions& options, const Message& message) {
   RequestResult asked{{}, "no answer"};
   Socket socket = ConnectDatagrams(options.server);
-  if (!socket.is_open())
+  if (!socket.is_open()) {
     return {{}, "cannot send to " + options.server + ": " + std::strerror(errno)};
+  }
   std::vector<char> buffer(dns::kMaxMessageBytes);
   for (int attempt = 0; attempt < options.tries; ++attempt) {
     std::optional<dns::TsigSession> session;
@@ -91,8 +92,9 @@
   if (!Connect(socket, options.server, options.timeout)) {
     return "no connection to " + options.server + ": " + std::strerror(errno);
   }
-  if (!socket.SendAll(dns::WithLengthPrefix(bytes), until))
+  if (!socket.SendAll(dns::WithLengthPrefix(bytes), until)) {
     return "the connection ended while asking";
+  }
   dns::StreamReader reader;
   std::vector<char> buffer(kReadBytes);
   auto last = until;
--- a/src/nameserver/responder.cpp
+++ b/src/nameserver/responder.cpp
@@ -193,8 +193,9 @@
   if (question.type == dns::type::kAxfr && !request.stream) {
     return Refuse(request, Rcode::kFormErr, what + ": by UDP");
   }
-  if (!manager->answers())
+  if (!manager->answers()) {
     return Refuse(request, Rcode::kServFail, what + ": the zone is not available");
+  }
   Reply reply;
   reply.messages = TransferAnswer(manager->zone(), request.message, request.stream, request.limit,
                                   request.session, request.now);
@@ -217,8 +218,9 @@
   if (!manager->takes_updates()) {
     return Refuse(request, Rcode::kRefused, "an update of a zone that follows a primary");
   }
-  if (!manager->answers())
+  if (!manager->answers()) {
     return Refuse(request, Rcode::kServFail, "an update: the zone is not available");
+  }
   const std::string mac = request.session != nullptr ? request.session->mac() : std::string();
   signatures_.RemoveExpired(request.now);
   if (!mac.empty()) {
--- a/src/peers/roster_change.cpp
+++ b/src/peers/roster_change.cpp
@@ -43,8 +43,9 @@
 
 std::string ChangeFault(const Roster& now, const Roster& next) {
   if (now.fleet != next.fleet) return "the fleet's name differs";
-  if (now.secret != next.secret)
+  if (now.secret != next.secret) {
     return "the key differs; a new key takes effect only after a restart";
+  }
   const std::set<std::string> changed = FindChangedMembers(now, next);
   if (changed.empty()) return "";
   const std::string& first = *changed.begin();
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -29,8 +29,9 @@
   [[nodiscard]] char Peek() const { return position_ < text_.size() ? text_[position_] : '\0'; }
 
   void SkipSpace() {
-    while (position_ < text_.size() && std::string_view(" \t\r\n").find(text_[position_]) < 4)
+    while (position_ < text_.size() && std::string_view(" \t\r\n").find(text_[position_]) < 4) {
       ++position_;
+    }
   }
 
   bool Skip(std::string_view word) {
--- a/src/quota/messages.cpp
+++ b/src/quota/messages.cpp
@@ -56,8 +56,9 @@
 std::string LeaseGrant::Encode() const {
   Writer out;
   out.U64(number).U8(leases).U16(parts.size());
-  for (const auto& [key, part] : parts)
+  for (const auto& [key, part] : parts) {
     out.Name(key).U32(ToThousandths(part.limit)).U32(ToThousandths(part.lease));
+  }
   return out.Take();
 }
 
--- a/src/records/unify.cpp
+++ b/src/records/unify.cpp
@@ -297,8 +297,10 @@
 ValuePtr Evaluator::EvaluateDefinition(const Expression& reference, const Field& definition,
                                        const Scope& scope) {
   const Expression* value = definition.value.get();
-  if (const auto known = evaluated_definitions_.find(value); known != evaluated_definitions_.end())
+  if (const auto known = evaluated_definitions_.find(value);
+      known != evaluated_definitions_.end()) {
     return known->second;
+  }
   if (std::find(evaluating_.begin(), evaluating_.end(), value) != evaluating_.end()) {
     Complain(reference.at, definition.name + " refers to itself", definition.at);
     return nullptr;
--- a/src/rehearsal/auditor.cpp
+++ b/src/rehearsal/auditor.cpp
@@ -108,8 +108,9 @@
     case What::kCut:
       return HandleCut(e);
     case What::kNotice:
-      if (e.submission == kUnknownSubmission)
+      if (e.submission == kUnknownSubmission) {
         ReportViolation(Rule::kOwn, e.at, "a notice for a message nobody handed in");
+      }
       return;
     case What::kEndpointChange:
       return HandleEndpointChange(e);
@@ -191,8 +192,9 @@
 
 void Auditor::HandleMachineLost(const Event& e) {
   for (SubmissionId id = 0; id < submissions_.size(); ++id) {
-    if (submissions_[id].forwarder == e.forwarder && submissions_[id].accepted)
+    if (submissions_[id].forwarder == e.forwarder && submissions_[id].accepted) {
       EndSubmission(id, End::kExcused, e.at);
+    }
   }
 }
 
@@ -323,8 +325,9 @@
           "a message of another destination was sent to " + scenario_.partners[e.partner].name,
           part.submission);
     }
-    if (submission.calls_in_flight++ > 0)
+    if (submission.calls_in_flight++ > 0) {
       ReportViolation(Rule::kOverlap, e.at, "two attempts at once", part.submission);
+    }
     if (submission.attempts == kMaxAttempts + 1) {
       ReportViolation(Rule::kAttempts, e.at, "more than 12 attempts", part.submission);
     }
@@ -449,8 +452,9 @@
   for (SubmissionId id = 0; id < submissions_.size(); ++id) {
     const SubmissionState& submission = submissions_[id];
     if (!submission.accepted || submission.end == End::kExcused ||
-        submission.end == End::kNeverAccepted)
+        submission.end == End::kNeverAccepted) {
       continue;
+    }
     const Time due = DueOf(submission);
     if (due > now && submission.end == End::kNone) continue;
     if (submission.end == End::kNone || submission.ended > due) {
--- a/src/rehearsal/endpoint_stub.cpp
+++ b/src/rehearsal/endpoint_stub.cpp
@@ -162,8 +162,9 @@
 
   bool AddBundle(const std::string& body) {
     const auto items = nlohmann::json::parse(body, nullptr, false);
-    if (!items.is_array() || items.empty() || items.size() > PartnerOfEndpoint().batch)
+    if (!items.is_array() || items.empty() || items.size() > PartnerOfEndpoint().batch) {
       return false;
+    }
     for (const auto& item : items) {
       if (!item.is_object()) return false;
       if (!AddMessage(item.value("id", ""), item.value("key", ""),
--- a/src/rehearsal/malicious_peer.cpp
+++ b/src/rehearsal/malicious_peer.cpp
@@ -76,13 +76,15 @@
                                                     const std::vector<std::string>& endpoints) {
   std::vector<std::string> frames;
   const auto includes = [lie](FalseReport one) { return lie == one || lie == FalseReport::kAll; };
-  if (includes(FalseReport::kDead))
+  if (includes(FalseReport::kDead)) {
     frames.push_back(Signed(kWords, to, ConditionReport(kDown, 0, endpoints)));
+  }
   if (includes(FalseReport::kWaits)) {
     frames.push_back(Signed(kWords, to, ConditionReport(kWait, kAnHour, endpoints)));
   }
-  if (includes(FalseReport::kHealthy))
+  if (includes(FalseReport::kHealthy)) {
     frames.push_back(Signed(kWords, to, ConditionReport(kCold, 0, endpoints)));
+  }
   if (includes(FalseReport::kNoLimit)) frames.push_back(Signed(kWant, to, DemandReport(0.01)));
   if (includes(FalseReport::kHugeLimit)) frames.push_back(Signed(kWant, to, DemandReport(1e6)));
   return frames;
--- a/src/rehearsal/run.cpp
+++ b/src/rehearsal/run.cpp
@@ -198,8 +198,9 @@
   }
 
   void Stopped(std::size_t f, bool planned) {
-    if (!began_)
+    if (!began_) {
       return Invalidate("forwarder " + std::to_string(f) + " ended at its start; see its log");
+    }
     state_[f] = NodeState::kDown;
     if (closing_) return;
     clients_.Dead(f);
--- a/src/rehearsal/scenario.cpp
+++ b/src/rehearsal/scenario.cpp
@@ -305,8 +305,9 @@
     if (action.kind == FaultKind::kWrongPeer) ReadWrongPeer(from, s, action);
     if (TargetsPartner(action.kind) || (work && partner != nullptr)) ReadPartners(from, s, action);
     ReadEndpoint(from, s, action);
-    if (TargetsForwarder(action.kind) || work)
+    if (TargetsForwarder(action.kind) || work) {
       ReadForwarderTargets(from, from.Find("forwarder"), s, action);
+    }
     if (TargetsLinks(action.kind)) ReadLinks(from, s, action);
     const Record* merchant = from.Find("merchant");
     if (merchant != nullptr) action.merchant = FindByName(*merchant, s.merchants, "merchant");
--- a/src/rehearsal/supervisor.cpp
+++ b/src/rehearsal/supervisor.cpp
@@ -253,8 +253,9 @@
               if (reply.rfind("+PONG", 0) != 0 && reply.rfind("-STANDBY", 0) != 0) {
                 return again();
               }
-              if (nodes_[forwarder].incarnation != incarnation || nodes_[forwarder].pid <= 0)
+              if (nodes_[forwarder].incarnation != incarnation || nodes_[forwarder].pid <= 0) {
                 return;
+              }
               hooks_.ready(forwarder, nodes_[forwarder].address);
             });
       });
--- a/src/zones/store.cpp
+++ b/src/zones/store.cpp
@@ -350,8 +350,9 @@
 
 bool ZoneStore::StartJournal() {
   std::string start = FileHeader(kJournalMagic, zone_.origin());
-  for (const dns::UpdateSignature& signature : signatures_)
+  for (const dns::UpdateSignature& signature : signatures_) {
     start += Entry(SignatureBody(entries_, &signature));
+  }
   if (!WriteNew("journal", [&](int fd) { return WriteAll(fd, start); })) return false;
   const int fd = open((folder_ + "/journal").c_str(), O_RDWR | O_APPEND | O_CLOEXEC);
   if (fd < 0) {
