--- a/src/membership/zone_map.cpp
+++ b/src/membership/zone_map.cpp
@@ -202,9 +202,7 @@
       const std::string key = record.name.Key();
       if (record.type == type::kSrv) affected.emplace(key, record.name);
       if (const auto dependents = dependents_.find(key); dependents != dependents_.end()) {
-        for (const std::string& service : dependents->second) {
-          affected.emplace(service, names_.at(service));
-        }
+        for (const std::string& name : dependents->second) affected.emplace(name, names_.at(name));
       }
     }
   }
